--- a/src/main/java/cobaltrack/Decide.java
+++ b/src/main/java/cobaltrack/Decide.java
@@ -349,14 +349,14 @@
             double scale = Math.min(1, Math.max(ASK_FIRST, cycle - Math.max(0, now - askedAt)) / longest);
             askLater(now + scale * askWait * (0.5 + random.nextDouble()), scale * askSpread());
             if (askWait == ASK_FIRST) {
-                out.log("server list out of reach: deciding on the last one");
+                out.log("endpoint list unavailable, using the last known list");
             }
             askWait = Math.min(Math.min(ASK_LONGEST, settings.obligations().askWithin()), askWait * 2);
             return;
         }
         if (kind != Contract.ListKind.STALE && asked) {
             if (askWait > ASK_FIRST) {
-                out.log("server list back in reach");
+                out.log("endpoint list available again");
             }
             askAt = Double.NaN;
             askWait = ASK_FIRST;
--- a/src/test/java/cobaltrack/LargeFleetTest.java
+++ b/src/test/java/cobaltrack/LargeFleetTest.java
@@ -271,7 +271,7 @@
         int dead = of(n, "s0/0") + of(n, "s1/0") + of(n, "s2/0");
         assertTrue(dead < 300, "of 2000 first attempts to the dead three: " + dead);
         assertTrue(of(n, "refused") < 60, "the rest carries it: " + n);
-        assertTrue(rig.actions.contains("log server list out of reach: deciding on the last one"));
+        assertTrue(rig.actions.contains("log endpoint list unavailable, using the last known list"));
     }
 
     @Test
