--- a/src/main/java/cobaltrack/Contract.java
+++ b/src/main/java/cobaltrack/Contract.java
@@ -22,12 +22,22 @@
     }
 
     /** Which servers discard the repeats of a keyed request. */
-    enum Group { ALL, ZONE, CELL }
+    enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 
     /** How an attempt ended. */
     enum Outcome {
-        SERVED(false), ERROR(false), FULL(true), TIMED_OUT(false), CONNECT_FAILED(true), RESET(false),
-        CANCELLED(false), NEVER_SENT(true);
+        SERVED(false),
+        ERROR(false),
+        FULL(true),
+        TIMED_OUT(false),
+        CONNECT_FAILED(true),
+        RESET(false),
+        CANCELLED(false),
+        NEVER_SENT(true);
 
         /** True if this outcome proves that the attempt never ran. */
         public final boolean neverRan;
@@ -38,7 +48,11 @@
     }
 
     /** What the list says of a server. */
-    enum Standing { UP, DRAINING, GONE }
+    enum Standing {
+        UP,
+        DRAINING,
+        GONE
+    }
 
     /** What a list event holds. */
     enum ListKind {
@@ -57,27 +71,58 @@
     }
 
     /** How load reports reach the sidecar. */
-    enum Reporting { NONE, WITH_ANSWERS, WITH_PROBES }
+    enum Reporting {
+        NONE,
+        WITH_ANSWERS,
+        WITH_PROBES
+    }
 
     /** A class of requests. */
-    record RequestClass(String name, double worth, double lateWorth, double aim, double deadline, Effect effect,
-                        Group group, double window, boolean stream) { }
+    record RequestClass(
+            String name,
+            double worth,
+            double lateWorth,
+            double aim,
+            double deadline,
+            Effect effect,
+            Group group,
+            double window,
+            boolean stream) {}
 
     /** A tenant and the requests a second that are within its share, over all sidecars. */
-    record Tenant(String name, double share, double quotaPerSecond) { }
+    record Tenant(String name, double share, double quotaPerSecond) {}
 
     /** What the deployment lets the module do; {@code probeCost} is its price for one probe a request. */
-    record Limits(int attempts, boolean copies, boolean cancel, boolean probes, boolean peers, boolean retryAfter,
-                  double maxRetryAfter, double probeCost) { }
+    record Limits(
+            int attempts,
+            boolean copies,
+            boolean cancel,
+            boolean probes,
+            boolean peers,
+            boolean retryAfter,
+            double maxRetryAfter,
+            double probeCost) {}
 
     /** The figures of the rules on drains and on cold servers. */
-    record Obligations(double drainGrace, double fallMultiple, double fallTime, double coldShare, double coldTime,
-                       double askWithin) { }
+    record Obligations(
+            double drainGrace,
+            double fallMultiple,
+            double fallTime,
+            double coldShare,
+            double coldTime,
+            double askWithin) {}
 
     /** Everything the module is told at start. */
-    record Settings(List<RequestClass> classes, List<Tenant> tenants, double overShareWorth, Limits limits,
-                    Obligations obligations, Reporting reporting, boolean listMustBeAsked, int sidecars,
-                    int ordinal) { }
+    record Settings(
+            List<RequestClass> classes,
+            List<Tenant> tenants,
+            double overShareWorth,
+            Limits limits,
+            Obligations obligations,
+            Reporting reporting,
+            boolean listMustBeAsked,
+            int sidecars,
+            int ordinal) {}
 
     /** An entry of the server list. {@code startedAt} of 0 or less than the clock's start means long ago. */
     record Server(String id, Standing standing, double size, String zone, int cell, double startedAt) {
@@ -88,7 +133,7 @@
     }
 
     /** A load report; a value that it lacks is NaN. */
-    record Report(double inflight, double queue, double util, double latency, double perSecond, double errors) { }
+    record Report(double inflight, double queue, double util, double latency, double perSecond, double errors) {}
 
     /** A request. The same object stands for it in every event and action; {@link #state} is the module's own. */
     final class Request {
@@ -130,8 +175,14 @@
          * An attempt ended. With {@code finished} the client has had its final answer; else it is still owed.
          * {@code report} may be null.
          */
-        void outcome(double now, Request request, int attempt, Outcome outcome, double took, boolean finished,
-                     Report report);
+        void outcome(
+                double now,
+                Request request,
+                int attempt,
+                Outcome outcome,
+                double took,
+                boolean finished,
+                Report report);
 
         /** The answer to an attempt began to stream to the client, which ends the module's duty to it. */
         void streaming(double now, Request request, int attempt);
--- a/src/main/java/cobaltrack/Decide.java
+++ b/src/main/java/cobaltrack/Decide.java
@@ -293,9 +293,11 @@
             usual[i] = recent[i];
         }
         this.shortestAim = shortest;
-        this.probesPerRequest = settings.limits().probes()
-                && settings.reporting() == Contract.Reporting.WITH_PROBES
-                ? Math.min(PROBES_MOST, PROBE_SPEND / Math.max(1e-9, settings.limits().probeCost())) : 0;
+        this.probesPerRequest = settings.limits().probes() && settings.reporting() == Contract.Reporting.WITH_PROBES
+                ? Math.min(
+                        PROBES_MOST,
+                        PROBE_SPEND / Math.max(1e-9, settings.limits().probeCost()))
+                : 0;
         this.levelWithin = new int[classes.length];
         this.levelOver = new int[classes.length];
         int levels = rankLevels();
@@ -418,8 +420,8 @@
                 up.add(n);
             }
         }
-        up.sort((a, b) -> a.rank != b.rank ? Long.compare(a.rank, b.rank)
-                : a.entry.id().compareTo(b.entry.id()));
+        up.sort((a, b) ->
+                a.rank != b.rank ? Long.compare(a.rank, b.rank) : a.entry.id().compareTo(b.entry.id()));
         usable = up.toArray(new Node[0]);
         for (Node n : ranked) {
             n.leftAt = now;
@@ -586,11 +588,12 @@
             return true;
         }
         Contract.Server a = c.mayHaveRun.node.entry;
-        return now < c.mayHaveRun.sentAt + k.window() && switch (k.group()) {
-            case ALL -> true;
-            case ZONE -> a.zone().equals(n.entry.zone());
-            case CELL -> a.cell() == n.entry.cell();
-        };
+        return now < c.mayHaveRun.sentAt + k.window()
+                && switch (k.group()) {
+                    case ALL -> true;
+                    case ZONE -> a.zone().equals(n.entry.zone());
+                    case CELL -> a.cell() == n.entry.cell();
+                };
     }
 
     private double percentageNow(double now, Node n) {
@@ -600,7 +603,8 @@
     // Guards against a burst, or a server gone slow, within one period, for outcomes come later than that:
     // the server that holds more than the subset's mean, or than it would hold when well, passes less.
     private double crowding(double now, Node n) {
-        double ratio = Math.min((meanHeld + CROWD_SLACK) / (held(now, n) + CROWD_SLACK),
+        double ratio = Math.min(
+                (meanHeld + CROWD_SLACK) / (held(now, n) + CROWD_SLACK),
                 (CROWD_WELL * Math.max(WELL_LEAST, n.wellHeld) * room(n) + CROWD_SLACK)
                         / (n.holds - n.stuck + CROWD_SLACK));
         return ratio >= 1 ? 0 : 1 - eighthPower(ratio);
@@ -733,15 +737,22 @@
         }
         double mean = subset.length == 0 ? 1 : sum / subset.length;
         double aim = classes[c.request.classIndex].aim();
-        return Math.min(settings.limits().maxRetryAfter(),
+        return Math.min(
+                settings.limits().maxRetryAfter(),
                 aim * (AFTER_LEAST + AFTER_FULL * mean) * (0.75 + 0.5 * random.nextDouble()));
     }
 
     // --- outcomes --------------------------------------------------------------------------------
 
     @Override
-    public void outcome(double now, Contract.Request request, int attempt, Contract.Outcome outcome,
-                        double took, boolean finished, Contract.Report report) {
+    public void outcome(
+            double now,
+            Contract.Request request,
+            int attempt,
+            Contract.Outcome outcome,
+            double took,
+            boolean finished,
+            Contract.Report report) {
         Call c = (Call) request.state;
         if (c == null || attempt < 0 || attempt >= c.count || !c.attempts[attempt].out) {
             return;
@@ -837,7 +848,7 @@
                 }
             }
             case ERROR -> fail(n, k, 1);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -865,7 +876,8 @@
     // Requests a second by busy share are the server's size, so that slow, cold and shared machines come
     // later in the walk.
     private double read(Node n, Contract.Report r) {
-        if (r == null || !(r.util() >= 0 && r.util() <= UTIL_MOST && r.perSecond() > 0)
+        if (r == null
+                || !(r.util() >= 0 && r.util() <= UTIL_MOST && r.perSecond() > 0)
                 || r.perSecond() == Double.POSITIVE_INFINITY) {
             return 0;
         }
@@ -885,7 +897,8 @@
 
     private boolean mayRetry(double now, Call c, Contract.Outcome last) {
         Contract.RequestClass k = classes[c.request.classIndex];
-        if (last == Contract.Outcome.NEVER_SENT || retryTokens < 1
+        if (last == Contract.Outcome.NEVER_SENT
+                || retryTokens < 1
                 || c.count >= settings.limits().attempts()) {
             return false;
         }
@@ -914,11 +927,9 @@
     }
 
     @Override
-    public void probed(double now, String server, Contract.Outcome outcome, double took,
-                       Contract.Report report) {
+    public void probed(double now, String server, Contract.Outcome outcome, double took, Contract.Report report) {
         Node n = nodes.get(server);
-        if (n != null && report != null && report.inflight() >= 0
-                && report.inflight() < Double.POSITIVE_INFINITY) {
+        if (n != null && report != null && report.inflight() >= 0 && report.inflight() < Double.POSITIVE_INFINITY) {
             n.reported = report.inflight();
             n.reportedAt = now;
             n.since = 0;
@@ -942,7 +953,8 @@
         }
     }
 
-    @Override public void message(double now, int from, byte[] text) { }
+    @Override
+    public void message(double now, int from, byte[] text) {}
 
     // --- the period ------------------------------------------------------------------------------
 
@@ -988,9 +1000,9 @@
         }
         double share = usable.length / (Math.max(1.0, ranked.length) * Math.max(1, settings.sidecars()));
         // No answer can have come in the first moments: a start under load must not refuse it all.
-        allWell = now < startedAt + shortestAim ? Double.MAX_VALUE
-                : Math.max(CROWD_ALL * well + CROWD_CHANCE * Math.sqrt(well),
-                        FLOOR_HELD * live * Math.min(1, share));
+        allWell = now < startedAt + shortestAim
+                ? Double.MAX_VALUE
+                : Math.max(CROWD_ALL * well + CROWD_CHANCE * Math.sqrt(well), FLOOR_HELD * live * Math.min(1, share));
         width += (well - width) * (well > width ? WIDTH_RISE : WIDTH_FALL);
         held += (holds - held) * (holds > held ? WIDTH_RISE : WIDTH_FALL);
         int wanted = subsetWanted();
--- a/src/main/java/cobaltrack/SettingsReader.java
+++ b/src/main/java/cobaltrack/SettingsReader.java
@@ -32,8 +32,8 @@
         int t = pairs.containsKey("tenants.count") ? whole("tenants.count", 0) : 0;
         for (int i = 0; i < t; i++) {
             String at = "tenants." + i + ".";
-            tenants.add(new Contract.Tenant(word(at + "name"), number(at + "share", 0, 1),
-                    number(at + "quota_per_s", 0, 1e12)));
+            tenants.add(new Contract.Tenant(
+                    word(at + "name"), number(at + "share", 0, 1), number(at + "quota_per_s", 0, 1e12)));
         }
         once("tenants", tenants.stream().map(Contract.Tenant::name).toList());
         int sidecars = whole("peers_total", 1);
@@ -41,20 +41,22 @@
         if (ordinal >= sidecars) {
             throw fault("ordinal", "is not below peers_total");
         }
-        Contract.Reporting reporting = switch (word("reporting.how")) {
-            case "off" -> Contract.Reporting.NONE;
-            case "inline" -> Contract.Reporting.WITH_ANSWERS;
-            case "on_probe" -> Contract.Reporting.WITH_PROBES;
-            default -> throw fault("reporting.how", "is not one of off, inline, on_probe");
-        };
-        boolean ask = switch (word("discovery")) {
-            case "ask" -> true;
-            case "push" -> false;
-            default -> throw fault("discovery", "is not one of ask, push");
-        };
+        Contract.Reporting reporting =
+                switch (word("reporting.how")) {
+                    case "off" -> Contract.Reporting.NONE;
+                    case "inline" -> Contract.Reporting.WITH_ANSWERS;
+                    case "on_probe" -> Contract.Reporting.WITH_PROBES;
+                    default -> throw fault("reporting.how", "is not one of off, inline, on_probe");
+                };
+        boolean ask =
+                switch (word("discovery")) {
+                    case "ask" -> true;
+                    case "push" -> false;
+                    default -> throw fault("discovery", "is not one of ask, push");
+                };
         double over = t == 0 ? 1 : number("over_share_worth", 0, 1);
-        return new Contract.Settings(classes, tenants, over, limits(), obligations(), reporting, ask, sidecars,
-                ordinal);
+        return new Contract.Settings(
+                classes, tenants, over, limits(), obligations(), reporting, ask, sidecars, ordinal);
     }
 
     // Requests name their class and tenant: of two of one name one would never be meant.
@@ -65,12 +67,13 @@
     }
 
     private Contract.RequestClass requestClass(String at) {
-        Contract.Effect effect = switch (word(at + "effect")) {
-            case "idempotent" -> Contract.Effect.SAFE;
-            case "deduplicated" -> Contract.Effect.KEYED;
-            case "at_most_once" -> Contract.Effect.UNSAFE;
-            default -> throw fault(at + "effect", "is not one of idempotent, deduplicated, at_most_once");
-        };
+        Contract.Effect effect =
+                switch (word(at + "effect")) {
+                    case "idempotent" -> Contract.Effect.SAFE;
+                    case "deduplicated" -> Contract.Effect.KEYED;
+                    case "at_most_once" -> Contract.Effect.UNSAFE;
+                    default -> throw fault(at + "effect", "is not one of idempotent, deduplicated, at_most_once");
+                };
         Contract.Group group = Contract.Group.ALL;
         double window = 0;
         if (effect == Contract.Effect.KEYED) {
@@ -87,22 +90,37 @@
         if (aim > deadline) {
             throw fault(at + "slo", "is over the deadline of its class");
         }
-        return new Contract.RequestClass(word(at + "name"), number(at + "value", 0, 1e12),
-                number(at + "late_worth", 0, 1), aim, deadline, effect, group, window,
+        return new Contract.RequestClass(
+                word(at + "name"),
+                number(at + "value", 0, 1e12),
+                number(at + "late_worth", 0, 1),
+                aim,
+                deadline,
+                effect,
+                group,
+                window,
                 pairs.containsKey(at + "stream") && flag(at + "stream"));
     }
 
     private Contract.Limits limits() {
-        return new Contract.Limits(whole("limits.attempts_cap", 1), flag("limits.may_duplicate"),
-                flag("limits.cancel"), flag("limits.probes"), flag("limits.peers"), flag("limits.retry_after"),
+        return new Contract.Limits(
+                whole("limits.attempts_cap", 1),
+                flag("limits.may_duplicate"),
+                flag("limits.cancel"),
+                flag("limits.probes"),
+                flag("limits.peers"),
+                flag("limits.retry_after"),
                 number("limits.max_retry_after", 0, 1e12),
                 pairs.containsKey("costs.probe") ? number("costs.probe", 0, 1e12) : 0);
     }
 
     private Contract.Obligations obligations() {
-        return new Contract.Obligations(number("obligations.drain_grace", 0, 1e12),
-                number("obligations.fall_multiple", 1e-9, 1e12), number("obligations.overload_for", 1e-3, 1e12),
-                number("obligations.cold_share", 0, 1), number("obligations.cold", 0, 1e12),
+        return new Contract.Obligations(
+                number("obligations.drain_grace", 0, 1e12),
+                number("obligations.fall_multiple", 1e-9, 1e12),
+                number("obligations.overload_for", 1e-3, 1e12),
+                number("obligations.cold_share", 0, 1),
+                number("obligations.cold", 0, 1e12),
                 pairs.containsKey("obligations.ask_within") ? number("obligations.ask_within", 0, 1e12) : 0);
     }
 
--- a/src/main/java/cobaltrack/benchlink/Instance.java
+++ b/src/main/java/cobaltrack/benchlink/Instance.java
@@ -66,7 +66,14 @@
         if (t != null) {
             t.owed++;
         }
-        begin("forward").space().integer(r.id).space().word(server).space().millis(within).line();
+        begin("forward")
+                .space()
+                .integer(r.id)
+                .space()
+                .word(server)
+                .space()
+                .millis(within)
+                .line();
     }
 
     @Override
@@ -98,7 +105,10 @@
 
     @Override
     public void tellPeers(byte[] text) {
-        begin("notify").word(" * ").word(Base64.getEncoder().encodeToString(text)).line();
+        begin("notify")
+                .word(" * ")
+                .word(Base64.getEncoder().encodeToString(text))
+                .line();
     }
 
     @Override
--- a/src/main/java/cobaltrack/benchlink/Link.java
+++ b/src/main/java/cobaltrack/benchlink/Link.java
@@ -11,11 +11,18 @@
 
 /** Reads batches of events, hands each to the module of its instance, and writes the replies. Decides nothing. */
 final class Link {
-    private static final byte[][] OUTCOMES = bytes("done", "err", "busy", "etimedout", "econnrefused", "econnreset",
-            "ecanceled", "skipped");
-    private static final Contract.Outcome[] OUTCOME = {Contract.Outcome.SERVED, Contract.Outcome.ERROR,
-        Contract.Outcome.FULL, Contract.Outcome.TIMED_OUT, Contract.Outcome.CONNECT_FAILED, Contract.Outcome.RESET,
-        Contract.Outcome.CANCELLED, Contract.Outcome.NEVER_SENT};
+    private static final byte[][] OUTCOMES =
+            bytes("done", "err", "busy", "etimedout", "econnrefused", "econnreset", "ecanceled", "skipped");
+    private static final Contract.Outcome[] OUTCOME = {
+        Contract.Outcome.SERVED,
+        Contract.Outcome.ERROR,
+        Contract.Outcome.FULL,
+        Contract.Outcome.TIMED_OUT,
+        Contract.Outcome.CONNECT_FAILED,
+        Contract.Outcome.RESET,
+        Contract.Outcome.CANCELLED,
+        Contract.Outcome.NEVER_SENT
+    };
     private static final byte[][] MODES = bytes("U", "L", "D");
     private static final Contract.Standing[] STANDING = Contract.Standing.values();
     private static final byte[][] SCOPES = bytes("D", "F", "C", "X");
--- a/src/main/java/cobaltrack/benchlink/Main.java
+++ b/src/main/java/cobaltrack/benchlink/Main.java
@@ -7,7 +7,7 @@
 
 /** The command line: {@code benchlink} speaks the simulator's wire on standard input and output. */
 public final class Main {
-    private Main() { }
+    private Main() {}
 
     /** Runs the adapter; exits with 2 on bad usage and 1 on input that does not follow the wire. */
     public static void main(String[] args) {
--- a/src/main/java/cobaltrack/sidecar/ArchiveTraining.java
+++ b/src/main/java/cobaltrack/sidecar/ArchiveTraining.java
@@ -31,18 +31,27 @@
     private static final String EMPTY = "Content-Length: 0\r\n\r\n";
     private static final String CHUNKED = OK + "Transfer-Encoding: chunked\r\n\r\n";
     private static final List<String> ANSWERS = List.of(
-            OK + "Server-Load: util=0.5,qps=3,eps=0\r\nContent-Type: text/plain\r\n"
-                    + "Content-Length: 4\r\n\r\ndone",
+            OK + "Server-Load: util=0.5,qps=3,eps=0\r\nContent-Type: text/plain\r\n" + "Content-Length: 4\r\n\r\ndone",
             "HTTP/1.1 500 Internal Server Error\r\n" + EMPTY,
             "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\n" + EMPTY,
-            TrainingServer.RESET, TrainingServer.CLOSE, "noise\r\nnoise\r\n\r\n", OK + "no colon\r\n\r\n",
+            TrainingServer.RESET,
+            TrainingServer.CLOSE,
+            "noise\r\nnoise\r\n\r\n",
+            OK + "no colon\r\n\r\n",
             OK + "X: y\r\n".repeat(LARGE / 6),
-            OK + "X: " + "y".repeat(LARGE), OK + "Content-Length: " + LARGE + "\r\n\r\n",
-            OK + "Content-Length: x\r\n\r\n", OK + "Content-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n",
-            CHUNKED + "4\r\ndone\r\n0\r\nTrailer: x\r\n\r\n", CHUNKED + "zz\r\n",
+            OK + "X: " + "y".repeat(LARGE),
+            OK + "Content-Length: " + LARGE + "\r\n\r\n",
+            OK + "Content-Length: x\r\n\r\n",
+            OK + "Content-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n",
+            CHUNKED + "4\r\ndone\r\n0\r\nTrailer: x\r\n\r\n",
+            CHUNKED + "zz\r\n",
             CHUNKED + Integer.toHexString(LARGE) + "\r\n" + "z".repeat(LARGE) + "\r\n0\r\n\r\n",
-            OK + TrainingServer.THEN_CLOSE, OK + TrainingServer.THEN_RESET,
-            "HTTP/1.1 100 Continue\r\n\r\n" + OK + EMPTY, OK + EMPTY + OK + EMPTY, OK + "Content-Le", "");
+            OK + TrainingServer.THEN_CLOSE,
+            OK + TrainingServer.THEN_RESET,
+            "HTTP/1.1 100 Continue\r\n\r\n" + OK + EMPTY,
+            OK + EMPTY + OK + EMPTY,
+            OK + "Content-Le",
+            "");
 
     private final Path file;
     private final boolean pushed;
@@ -67,8 +76,15 @@
         settings.put("discovery", pushed ? "push" : "ask");
         ArrayNode classes = settings.putArray("classes");
         for (String effect : List.of("idempotent", "at_most_once", "deduplicated")) {
-            classes.addObject().put("name", effect).put("effect", effect).put("group", "all")
-                    .put("window", 500).put("slo", 30_000).put("deadline", 60_000).put("value", 1).put("late_worth", 0);
+            classes.addObject()
+                    .put("name", effect)
+                    .put("effect", effect)
+                    .put("group", "all")
+                    .put("window", 500)
+                    .put("slo", 30_000)
+                    .put("deadline", 60_000)
+                    .put("value", 1)
+                    .put("late_worth", 0);
         }
     }
 
@@ -145,19 +161,26 @@
     }
 
     private void newest() {
-        for (Socket newer = watched.asked().poll(); newer != null; newer = watched.asked().poll()) {
+        for (Socket newer = watched.asked().poll();
+                newer != null;
+                newer = watched.asked().poll()) {
             watch = newer;
         }
     }
 
     private static String host(String name, String address, String health) {
-        return String.format(Locale.ROOT, "{\"host\":\"%s\",\"dial\":\"%s\",\"site\":\"a\",\"class\":\"m\","
-                + "\"block\":0,\"health\":\"%s\",\"share\":1.0,\"born_ms\":0}", name, address, health);
+        return String.format(
+                Locale.ROOT,
+                "{\"host\":\"%s\",\"dial\":\"%s\",\"site\":\"a\",\"class\":\"m\","
+                        + "\"block\":0,\"health\":\"%s\",\"share\":1.0,\"born_ms\":0}",
+                name,
+                address,
+                health);
     }
 
     private void list(boolean whole, String... hosts) throws Exception {
-        push("{\"seq\":" + ++seq + ",\"whole\":" + whole + ",\"extra\":[1.5,null],\"hosts\":["
-                + String.join(",", hosts) + "]}\n");
+        push("{\"seq\":" + ++seq + ",\"whole\":" + whole + ",\"extra\":[1.5,null],\"hosts\":[" + String.join(",", hosts)
+                + "]}\n");
     }
 
     // A machine that stands still for long ends a watch that was not meant to end.
@@ -219,8 +242,7 @@
     private void lists() throws Exception {
         TrainingServer good = meet(ANSWERS.get(0));
         String kept = host("kept", good.address(), "ready");
-        push(("{\"seq\":" + ++seq + ",\"whole\":true,\"hosts\":[" + kept + "]}")
-                .replace(",", " ,\r\n\t") + "\n");
+        push(("{\"seq\":" + ++seq + ",\"whole\":true,\"hosts\":[" + kept + "]}").replace(",", " ,\r\n\t") + "\n");
         pushByteByByte("{\"seq\":" + ++seq + ",\"whole\":true,\"hosts\":[" + kept + "]}\n");
         list(false, host("kept", good.address(), "draining"));
         list(false, host("kept", good.address(), "gone"));
@@ -232,8 +254,8 @@
             // Each further loss would have the module wait longer before it asks again.
             return;
         }
-        for (String bad : List.of("not json\n", "[1]\n", "{\"seq\":1}\n",
-                "{\"seq\":0,\"whole\":false,\"hosts\":[]}\n")) {
+        for (String bad :
+                List.of("not json\n", "[1]\n", "{\"seq\":1}\n", "{\"seq\":0,\"whole\":false,\"hosts\":[]}\n")) {
             push(bad);
             awaitWatch(discovery);
         }
@@ -247,20 +269,27 @@
         String get = request(0, "1");
         String post = request(1, "1");
         String length = "Content-Length: 3";
-        for (String bad : List.of("noise\r\n\r\n", get.replace("Request-Id", "Other"),
+        for (String bad : List.of(
+                "noise\r\n\r\n",
+                get.replace("Request-Id", "Other"),
                 get.replace("/api", "/other"),
-                get.replace("GET", "POST"), get.replace("HTTP/1.1", "HTTP/9.9"),
-                get.replace("Request-Timeout: 1", "Request-Timeout: x"), get + get,
+                get.replace("GET", "POST"),
+                get.replace("HTTP/1.1", "HTTP/9.9"),
+                get.replace("Request-Timeout: 1", "Request-Timeout: x"),
+                get + get,
                 get.replace("Host: a", "Host: a\r\nHost: b"),
                 get.replace("Host: a", "X: " + "x".repeat(LARGE)),
                 "GET /" + "x".repeat(LARGE) + " HTTP/1.1\r\n\r\n",
-                "POST /health/ready HTTP/1.1\r\n" + EMPTY, post.replace(length, "Content-Length: " + LARGE),
+                "POST /health/ready HTTP/1.1\r\n" + EMPTY,
+                post.replace(length, "Content-Length: " + LARGE),
                 post.replace(length, "Content-Length: x"),
                 post.replace(length, length + "\r\nTransfer-Encoding: chunked"),
                 post.replace(length, length + "\r\nExpect: 100-continue"),
                 post.replace(length, length + "\r\nExpect: else"),
-                post.replace(length + "\r\n\r\nabc", "Transfer-Encoding: chunked\r\n\r\n"
-                        + Integer.toHexString(LARGE) + "\r\n" + "x".repeat(LARGE) + "\r\n0\r\n\r\n"))) {
+                post.replace(
+                        length + "\r\n\r\nabc",
+                        "Transfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(LARGE) + "\r\n" + "x".repeat(LARGE)
+                                + "\r\n0\r\n\r\n"))) {
             step(() -> ask(bad));
         }
         client(post.substring(0, post.length() - 1)).close();
@@ -317,7 +346,8 @@
     }
 
     private String request(int kind, String timeout) {
-        String name = config.get("settings").get("classes").get(kind).get("name").asText();
+        String name =
+                config.get("settings").get("classes").get(kind).get("name").asText();
         return (kind == 0 ? "GET" : "POST") + " /api?obj=k HTTP/1.1\r\nHost: a\r\nRequest-Id: t" + pushed
                 + requests++ + "\r\nRequest-Class: " + name + "\r\nRequest-Timeout: " + timeout
                 + "\r\nIdempotency-Key: k\r\n"
--- a/src/main/java/cobaltrack/sidecar/BusyLoopDetector.java
+++ b/src/main/java/cobaltrack/sidecar/BusyLoopDetector.java
@@ -16,6 +16,7 @@
     private static final double BUSY_SHARE = 0.5;
     /** Fewer socket events a second than this do not explain a busy loop. */
     private static final int EVENTS_PER_SECOND = 5;
+
     private static final double MILLIS_PER_SECOND = 1000;
     private static final double NANOS_PER_MILLI = 1e6;
 
@@ -26,6 +27,7 @@
     private double checkedAt;
     /** Unknown until the first run, which so has nothing to compare with. */
     private long processorNanosThen = ThreadProcessorTime.UNKNOWN;
+
     private long turnsThen;
     private long socketEventsThen;
     private double loggedAt = Double.NEGATIVE_INFINITY;
@@ -62,15 +64,22 @@
         double used = (processorNanosNow - processorNanosThen) / NANOS_PER_MILLI;
         long events = activity.socketEvents() - socketEventsThen;
         long turns = activity.turns() - turnsThen;
-        boolean measured = processorNanosNow != ThreadProcessorTime.UNKNOWN
-                && processorNanosThen != ThreadProcessorTime.UNKNOWN;
+        boolean measured =
+                processorNanosNow != ThreadProcessorTime.UNKNOWN && processorNanosThen != ThreadProcessorTime.UNKNOWN;
         boolean busy = used > elapsed * BUSY_SHARE && events < EVENTS_PER_SECOND * elapsed / MILLIS_PER_SECOND;
         if (measured && busy && now - loggedAt >= LOG_INTERVAL_MS) {
             loggedAt = now;
             // No formatter and no concatenation of strings: both load much on their first use.
-            log.accept(new StringBuilder("event loop busy without cause: ").append(Math.round(used))
-                    .append(" ms of processor time in ").append(Math.round(elapsed)).append(" ms, ").append(turns)
-                    .append(" turns, ").append(events).append(" socket events").toString());
+            log.accept(new StringBuilder("event loop busy without cause: ")
+                    .append(Math.round(used))
+                    .append(" ms of processor time in ")
+                    .append(Math.round(elapsed))
+                    .append(" ms, ")
+                    .append(turns)
+                    .append(" turns, ")
+                    .append(events)
+                    .append(" socket events")
+                    .toString());
         }
     }
 
--- a/src/main/java/cobaltrack/sidecar/ClientConnection.java
+++ b/src/main/java/cobaltrack/sidecar/ClientConnection.java
@@ -118,8 +118,7 @@
 
     /** Sets up the pipeline of a connection just accepted. */
     void addTo(ChannelPipeline pipeline) {
-        pipeline.addLast(new Bytes(), decoder, new HttpResponseEncoder(),
-                new HttpServerExpectContinueHandler(), this);
+        pipeline.addLast(new Bytes(), decoder, new HttpResponseEncoder(), new HttpServerExpectContinueHandler(), this);
     }
 
     Phase phase() {
@@ -217,7 +216,9 @@
     private void check(HttpRequest request) throws RequestCheck.Rejected {
         head = request;
         RequestCheck.framing(request);
-        checked = RequestCheck.path(request).equals(READY_PATH) ? null : server.check().application(request);
+        checked = RequestCheck.path(request).equals(READY_PATH)
+                ? null
+                : server.check().application(request);
     }
 
     // Only when all that came in one pass has been looked at is it clear that nothing follows the request.
@@ -246,8 +247,7 @@
         if (!head.method().equals(HttpMethod.GET)) {
             reject(HttpResponseStatus.METHOD_NOT_ALLOWED);
         } else {
-            write(response(server.serving() ? HttpResponseStatus.OK
-                    : HttpResponseStatus.SERVICE_UNAVAILABLE));
+            write(response(server.serving() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE));
         }
     }
 
@@ -313,8 +313,8 @@
     }
 
     private static FullHttpResponse response(HttpResponseStatus status, byte[] body) {
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.wrappedBuffer(body));
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         return response;
     }
--- a/src/main/java/cobaltrack/sidecar/ClientServer.java
+++ b/src/main/java/cobaltrack/sidecar/ClientServer.java
@@ -35,6 +35,7 @@
     private static final double MAX_IDLE_MS = 60_000;
     /** The share of the connections allowed from which idle ones are many. */
     private static final int MANY_SHARE = 4;
+
     private static final long SWEEP_MS = 200;
     /** Reads of one connection in a turn, as Netty has it where no other way of reading is set. */
     private static final int MAX_READS = 16;
@@ -65,13 +66,15 @@
         this.check = new RequestCheck(settings);
         this.drainSchedule = DrainSchedule.of(settings);
         this.maxConnections = maxConnections;
-        loop.scheduleAtFixedRate(() -> SelectBarrier.runAfterSelect(loop, this::sweep), SWEEP_MS, SWEEP_MS,
-                TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(
+                () -> SelectBarrier.runAfterSelect(loop, this::sweep), SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Listens on this address only. */
     ChannelFuture listen(SocketAddress address) {
-        return new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
+        return new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -88,10 +91,14 @@
                 })
                 // Reads up to where nothing is left: else the end of a connection would be found a turn later
                 // than the request before it, which would be sent on for a client that has gone.
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator()
-                        .respectMaybeMoreData(false).maxMessagesPerRead(MAX_READS))
+                .childOption(
+                        ChannelOption.RECVBUF_ALLOCATOR,
+                        new AdaptiveRecvByteBufAllocator()
+                                .respectMaybeMoreData(false)
+                                .maxMessagesPerRead(MAX_READS))
                 // Accepts up to where none waits: a connection that waits when the listener closes is reset.
-                .option(ChannelOption.RECVBUF_ALLOCATOR,
+                .option(
+                        ChannelOption.RECVBUF_ALLOCATOR,
                         new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(Math.max(MAX_READS, maxConnections)))
                 .bind(address);
     }
@@ -192,7 +199,7 @@
                     }
                 }
                 case ANSWERING, ENDING -> closeIf(c, age > MAX_WRITE_MS);
-                case RECEIVED, OPEN -> { }
+                case RECEIVED, OPEN -> {}
             }
         }
         // Guards against clients that ask once and stay: the room they take is wanted by those that ask
@@ -235,10 +242,13 @@
     }
 
     private void drainStep(double in, Runnable step) {
-        loop.schedule(() -> SelectBarrier.runAfterSelect(loop, () -> {
-            step.run();
-            finishDrain();
-        }), (long) in, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> SelectBarrier.runAfterSelect(loop, () -> {
+                    step.run();
+                    finishDrain();
+                }),
+                (long) in,
+                TimeUnit.MILLISECONDS);
     }
 
     private void closeAll(ClientConnection.Phase phase) {
--- a/src/main/java/cobaltrack/sidecar/Config.java
+++ b/src/main/java/cobaltrack/sidecar/Config.java
@@ -21,8 +21,15 @@
  * @param endpointIdle milliseconds after which an endpoint closes an idle connection
  * @param sockets file descriptors that the process may hold
  */
-record Config(InetSocketAddress listen, InetSocketAddress discovery, long seed, Contract.Settings settings,
-              EndpointList known, int connectTimeout, double endpointIdle, int sockets) {
+record Config(
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        Contract.Settings settings,
+        EndpointList known,
+        int connectTimeout,
+        double endpointIdle,
+        int sockets) {
 
     private static final int HEX = 16;
 
@@ -55,10 +62,14 @@
         flatten("", json.path("settings"), pairs);
         JsonNode limits = json.path("settings").path("limits");
         JsonNode known = json.path("known");
-        return new Config(EndpointList.address(json.path("listen").asText()),
-                EndpointList.address(json.path("discovery").asText()), seed(json.path("seed").asText()),
-                new SettingsReader(pairs).settings(), known.isObject() ? EndpointList.parse(known) : null,
-                (int) positive(limits, "connect_timeout"), positive(limits, "conn_idle"),
+        return new Config(
+                EndpointList.address(json.path("listen").asText()),
+                EndpointList.address(json.path("discovery").asText()),
+                seed(json.path("seed").asText()),
+                new SettingsReader(pairs).settings(),
+                known.isObject() ? EndpointList.parse(known) : null,
+                (int) positive(limits, "connect_timeout"),
+                positive(limits, "conn_idle"),
                 (int) positive(json.path("limits"), "sockets"));
     }
 
@@ -83,8 +94,8 @@
      */
     private static void flatten(String path, JsonNode node, Map<String, String> pairs) {
         if (node.isObject()) {
-            node.properties().forEach(e -> flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(),
-                    e.getValue(), pairs));
+            node.properties()
+                    .forEach(e -> flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(), e.getValue(), pairs));
         } else if (node.isArray()) {
             pairs.put(path + ".count", Integer.toString(node.size()));
             for (int i = 0; i < node.size(); i++) {
--- a/src/main/java/cobaltrack/sidecar/Decimals.java
+++ b/src/main/java/cobaltrack/sidecar/Decimals.java
@@ -19,7 +19,7 @@
     /** So close to a half, the decimal digits of the number itself tell which way it is rounded. */
     private static final double CLOSE = 1e-3;
 
-    private Decimals() { }
+    private Decimals() {}
 
     /** The number, or NaN if it is malformed or over {@code max}. */
     static double parse(String text, double max) {
@@ -42,14 +42,19 @@
         long n = (long) scaled;
         double beyondHalf = scaled - n - 0.5;
         if (Math.abs(beyondHalf) < CLOSE) {
-            n = new BigDecimal(Double.toString(value)).movePointRight(PLACES)
-                    .setScale(0, RoundingMode.HALF_UP).longValueExact();
+            n = new BigDecimal(Double.toString(value))
+                    .movePointRight(PLACES)
+                    .setScale(0, RoundingMode.HALF_UP)
+                    .longValueExact();
         } else if (beyondHalf > 0) {
             n++;
         }
         // With a leading 1, whose place the point then takes, the zeros after the point are there.
         String fraction = Long.toString(SCALE + n % SCALE);
-        return new StringBuilder().append(n / SCALE).append('.').append(fraction, 1, fraction.length())
+        return new StringBuilder()
+                .append(n / SCALE)
+                .append('.')
+                .append(fraction, 1, fraction.length())
                 .toString();
     }
 }
--- a/src/main/java/cobaltrack/sidecar/Discovery.java
+++ b/src/main/java/cobaltrack/sidecar/Discovery.java
@@ -49,6 +49,7 @@
      * the calls of all sidecars whose watches fell silent together.
      */
     private static final double SILENT_MS = 2600;
+
     private static final double SILENT_SPREAD_MS = 1000;
     private static final long LOOK_MS = 100;
     private static final double FIRST_BACKOFF_MS = 100;
@@ -69,26 +70,37 @@
     private Long seq;
     /** The watch under way; others that have not ended yet are no longer heeded. */
     private Call current;
+
     private double backoff = FIRST_BACKOFF_MS;
     /** True from a list that can't be read to the next good one: it is told once. */
     private boolean spoilt;
 
     /** A watch that has not begun. {@code known} is the list to hear changes of, or null. */
-    Discovery(EventLoop loop, Class<? extends Channel> channels, Clock clock, InetSocketAddress address,
-              ObjectMapper mapper, Contract.Settings settings, long seed, EndpointList known,
-              Listener listener, Consumer<String> log) {
+    Discovery(
+            EventLoop loop,
+            Class<? extends Channel> channels,
+            Clock clock,
+            InetSocketAddress address,
+            ObjectMapper mapper,
+            Contract.Settings settings,
+            long seed,
+            EndpointList known,
+            Listener listener,
+            Consumer<String> log) {
         this.loop = loop;
         this.clock = clock;
         this.address = address;
         this.mapper = mapper;
         this.pushed = !settings.listMustBeAsked();
-        this.maxBackoff = Math.min(MAX_BACKOFF_MS,
-                Math.max(1, settings.obligations().drainGrace() * PUSHED_SHARE));
+        this.maxBackoff =
+                Math.min(MAX_BACKOFF_MS, Math.max(1, settings.obligations().drainGrace() * PUSHED_SHARE));
         this.random = new Random(seed);
         this.seq = known == null ? null : known.seq();
         this.listener = listener;
         this.log = log;
-        this.bootstrap = new Bootstrap().group(loop).channel(channels)
+        this.bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(channels)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS);
         loop.scheduleAtFixedRate(this::lookForSilence, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
     }
@@ -106,12 +118,15 @@
         }
         Call call = new Call(SILENT_MS + SILENT_SPREAD_MS * random.nextDouble());
         current = call;
-        ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<>() {
-            @Override
-            protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(new HttpClientCodec(), call);
-            }
-        }).connect(address);
+        ChannelFuture connecting = bootstrap
+                .clone()
+                .handler(new ChannelInitializer<>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline().addLast(new HttpClientCodec(), call);
+                    }
+                })
+                .connect(address);
         call.channel = connecting.channel();
         connecting.addListener(f -> {
             // On the loop: where no descriptor is left, another thread tells so, of a channel that never was.
@@ -190,8 +205,7 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             String uri = PATH + "?watch=1" + (seq == null ? "" : "&after=" + seq);
-            DefaultFullHttpRequest request =
-                    new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
             request.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(address));
             ctx.writeAndFlush(request);
         }
@@ -223,7 +237,8 @@
             } catch (IOException | IllegalArgumentException e) {
                 if (this == current && !spoilt) {
                     spoilt = true;
-                    log.accept("server list not taken over: " + e.getMessage().lines().findFirst().orElse(""));
+                    log.accept("server list not taken over: "
+                            + e.getMessage().lines().findFirst().orElse(""));
                 }
                 lost(this, Contract.ListKind.FAILED);
             }
--- a/src/main/java/cobaltrack/sidecar/Endpoint.java
+++ b/src/main/java/cobaltrack/sidecar/Endpoint.java
@@ -17,6 +17,7 @@
 
     /** The longest idle first. */
     private final ArrayDeque<EndpointConnection> idle = new ArrayDeque<>();
+
     private final SocketAddress address;
     private final double startedAt;
     private final double maxIdleLimit;
--- a/src/main/java/cobaltrack/sidecar/EndpointAttempt.java
+++ b/src/main/java/cobaltrack/sidecar/EndpointAttempt.java
@@ -6,7 +6,7 @@
 /** One request under way to one endpoint. */
 final class EndpointAttempt {
     /** An endpoint's answer to an attempt that was served. */
-    record Answer(byte[] body, String contentType) { }
+    record Answer(byte[] body, String contentType) {}
 
     /** Is told once how an attempt ended, unless it was given up first. */
     interface Listener {
--- a/src/main/java/cobaltrack/sidecar/EndpointConnection.java
+++ b/src/main/java/cobaltrack/sidecar/EndpointConnection.java
@@ -43,6 +43,7 @@
     private boolean surplus;
     /** A read returned end of stream, and no call on the socket had failed before. */
     private boolean streamEnded;
+
     private double readAt;
     private Future<?> stall;
     private double idleSince;
@@ -217,18 +218,21 @@
     }
 
     private void watchForStall(EndpointAttempt watched, double wait) {
-        stall = loop.schedule(() -> {
-            stall = null;
-            double left = readAt + STALL_MS - clock.now();
-            if (attempt != watched || watched.over()) {
-                return;
-            }
-            if (left > 0) {
-                watchForStall(watched, left);
-            } else {
-                spoilt();
-            }
-        }, (long) Math.ceil(wait), TimeUnit.MILLISECONDS);
+        stall = loop.schedule(
+                () -> {
+                    stall = null;
+                    double left = readAt + STALL_MS - clock.now();
+                    if (attempt != watched || watched.over()) {
+                        return;
+                    }
+                    if (left > 0) {
+                        watchForStall(watched, left);
+                    } else {
+                        spoilt();
+                    }
+                },
+                (long) Math.ceil(wait),
+                TimeUnit.MILLISECONDS);
     }
 
     private void finish() {
@@ -247,7 +251,8 @@
         Contract.Outcome outcome = outcome(head);
         HttpHeaders headers = head.headers();
         EndpointAttempt.Answer answer = outcome == Contract.Outcome.SERVED
-                ? new EndpointAttempt.Answer(response.body(), headers.get(HttpHeaderNames.CONTENT_TYPE)) : null;
+                ? new EndpointAttempt.Answer(response.body(), headers.get(HttpHeaderNames.CONTENT_TYPE))
+                : null;
         done.end(outcome, answer, LoadReport.parse(headers.getAll(LoadReport.HEADER)));
     }
 
@@ -257,7 +262,7 @@
             return Contract.Outcome.SERVED;
         }
         boolean turnedAway = (status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
-                || status.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
+                        || status.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
                 && "1".equals(head.headers().get(NOT_STARTED));
         return turnedAway ? Contract.Outcome.FULL : Contract.Outcome.ERROR;
     }
--- a/src/main/java/cobaltrack/sidecar/EndpointList.java
+++ b/src/main/java/cobaltrack/sidecar/EndpointList.java
@@ -16,7 +16,7 @@
 record EndpointList(long seq, boolean whole, List<Entry> entries) {
 
     /** An endpoint for the module, and where to connect to it; null for one that is gone. */
-    record Entry(Contract.Server server, SocketAddress address) { }
+    record Entry(Contract.Server server, SocketAddress address) {}
 
     private static final int MAX_PORT = 65535;
 
@@ -34,8 +34,7 @@
         for (JsonNode host : hosts) {
             entries.add(entry(host));
         }
-        return new EndpointList(json.get("seq").asLong(), json.get("whole").asBoolean(),
-                List.copyOf(entries));
+        return new EndpointList(json.get("seq").asLong(), json.get("whole").asBoolean(), List.copyOf(entries));
     }
 
     private static Entry entry(JsonNode host) {
@@ -43,16 +42,22 @@
         if (!host.path("host").isTextual() || id.isEmpty()) {
             throw new IllegalArgumentException("host is missing or malformed");
         }
-        Contract.Standing standing = switch (host.path("health").asText()) {
-            case "ready" -> Contract.Standing.UP;
-            case "draining" -> Contract.Standing.DRAINING;
-            case "gone" -> Contract.Standing.GONE;
-            default -> throw new IllegalArgumentException("health of " + id + " is unknown");
-        };
+        Contract.Standing standing =
+                switch (host.path("health").asText()) {
+                    case "ready" -> Contract.Standing.UP;
+                    case "draining" -> Contract.Standing.DRAINING;
+                    case "gone" -> Contract.Standing.GONE;
+                    default -> throw new IllegalArgumentException("health of " + id + " is unknown");
+                };
         double born = number(host, "born_ms", 0);
         double share = number(host, "share", 1);
-        Contract.Server server = new Contract.Server(id, standing, share, host.path("site").asText(),
-                host.path("block").asInt(-1), born);
+        Contract.Server server = new Contract.Server(
+                id,
+                standing,
+                share,
+                host.path("site").asText(),
+                host.path("block").asInt(-1),
+                born);
         // Where nothing will be sent again no address is needed, and a list must not be lost for the lack
         // of one.
         boolean gone = standing == Contract.Standing.GONE;
--- a/src/main/java/cobaltrack/sidecar/EndpointPool.java
+++ b/src/main/java/cobaltrack/sidecar/EndpointPool.java
@@ -19,6 +19,7 @@
 final class EndpointPool {
     /** Of the endpoint's own idle limit: a request must never cross the endpoint's closing. */
     private static final double IDLE_SHARE = 0.75;
+
     private static final long SWEEP_MS = 1000;
     /** How long a connection rests after an answer, for a second one behind it to show itself. */
     private static final long REST_MS = 30;
@@ -45,13 +46,20 @@
      * @param endpointIdle milliseconds after which an endpoint closes an idle connection
      * @param maxOpen connections open at once to all endpoints together
      */
-    EndpointPool(EventLoop loop, Class<? extends Channel> channels, Clock clock, int connectTimeout,
-            double endpointIdle, int maxOpen) {
+    EndpointPool(
+            EventLoop loop,
+            Class<? extends Channel> channels,
+            Clock clock,
+            int connectTimeout,
+            double endpointIdle,
+            int maxOpen) {
         this.loop = loop;
         this.clock = clock;
         this.idleLimit = endpointIdle * IDLE_SHARE;
         this.maxOpen = maxOpen;
-        this.bootstrap = new Bootstrap().group(loop).channel(channels)
+        this.bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(channels)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeout)
                 // Has the end of a stream told by an event of its own; else it can't be told from other closes.
                 .option(ChannelOption.ALLOW_HALF_CLOSURE, true);
@@ -113,12 +121,15 @@
     private void connect(Endpoint endpoint, EndpointAttempt attempt) {
         EndpointConnection connection = new EndpointConnection(this, loop, clock, endpoint);
         open++;
-        ChannelFuture connecting = bootstrap.clone().handler(new ChannelInitializer<>() {
-            @Override
-            protected void initChannel(Channel channel) {
-                connection.addTo(channel.pipeline());
-            }
-        }).connect(endpoint.address());
+        ChannelFuture connecting = bootstrap
+                .clone()
+                .handler(new ChannelInitializer<>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        connection.addTo(channel.pipeline());
+                    }
+                })
+                .connect(endpoint.address());
         Channel channel = connecting.channel();
         connection.channel(channel);
         // Either way after a fresh look, and on the loop: where no descriptor is left, another thread tells so.
@@ -157,10 +168,13 @@
      */
     void rest(EndpointConnection connection) {
         resting.addLast(connection);
-        loop.schedule(() -> {
-            resting.remove(connection);
-            connection.release();
-        }, REST_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    resting.remove(connection);
+                    connection.release();
+                },
+                REST_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     private void sweep() {
--- a/src/main/java/cobaltrack/sidecar/LoadReport.java
+++ b/src/main/java/cobaltrack/sidecar/LoadReport.java
@@ -12,7 +12,7 @@
      */
     private static final double MAX_VALUE = 1e6;
 
-    private LoadReport() { }
+    private LoadReport() {}
 
     /** The report in these headers; null if there is not just one, or one that can't be read. */
     static Contract.Report parse(List<String> headers) {
@@ -29,7 +29,8 @@
         double errors = Double.NaN;
         for (String part : text.split(",", -1)) {
             int eq = part.indexOf('=');
-            double value = eq < 0 ? Double.NaN : Decimals.parse(part.substring(eq + 1).trim(), MAX_VALUE);
+            double value =
+                    eq < 0 ? Double.NaN : Decimals.parse(part.substring(eq + 1).trim(), MAX_VALUE);
             if (Double.isNaN(value)) {
                 return null;
             }
@@ -40,7 +41,7 @@
                 case "latency_ms" -> latency = value;
                 case "qps" -> perSecond = value;
                 case "eps" -> errors = value;
-                default -> { }
+                default -> {}
             }
         }
         return new Contract.Report(inflight, queue, util, latency, perSecond, errors);
--- a/src/main/java/cobaltrack/sidecar/LoopLateness.java
+++ b/src/main/java/cobaltrack/sidecar/LoopLateness.java
@@ -7,11 +7,13 @@
 final class LoopLateness {
     /** What a request's way here and its answer's way back take; of a short wait no more than this share. */
     private static final double WAY_MS = 25;
+
     private static final double MAX_WAY_SHARE = 0.1;
     /** Once for the request that the loop found late and once for the answer that it will give late. */
     private static final double TIMES_LATE = 2;
     /** Of a short wait no more than this share is taken off for a late loop. */
     private static final double MAX_LATE_SHARE = 0.3;
+
     private static final double HALF_LIFE_MS = 1500;
     /** A loop that was later than this is not remembered as later. */
     private static final double MAX_REMEMBERED_MS = 1000;
--- a/src/main/java/cobaltrack/sidecar/Main.java
+++ b/src/main/java/cobaltrack/sidecar/Main.java
@@ -24,13 +24,14 @@
      * discovery.
      */
     private static final int ENDPOINT_SHARE = 6;
+
     private static final int SHARES = 16;
     /** How long a start waits for a pushed list; with the agent out of reach the last one known must do. */
     private static final long MAX_LIST_WAIT_MS = 2000;
 
     private static final Consumer<String> LOG = System.err::println;
 
-    private Main() { }
+    private Main() {}
 
     /** Runs one of them; exits with 2 on bad usage and 1 on bad configuration. */
     public static void main(String[] args) {
@@ -95,21 +96,35 @@
     }
 
     /** The parts, made but idle; {@code start} is run on the loop once the server listens. */
-    record Parts(ClientServer server, Sidecar sidecar, Discovery discovery, Runnable start) { }
+    record Parts(ClientServer server, Sidecar sidecar, Discovery discovery, Runnable start) {}
 
     /**
      * Makes the parts, with this clock and this kind of connections to endpoints. Nothing is asked of discovery
      * before a failed bind could still end the process.
      */
-    static Parts wire(Config config, ObjectMapper mapper, EventLoop loop, Clock clock,
-                      Class<? extends Channel> channels) {
-        EndpointPool pool = new EndpointPool(loop, channels, clock, config.connectTimeout(),
-                config.endpointIdle(), Math.max(1, config.sockets() * ENDPOINT_SHARE / SHARES));
+    static Parts wire(
+            Config config, ObjectMapper mapper, EventLoop loop, Clock clock, Class<? extends Channel> channels) {
+        EndpointPool pool = new EndpointPool(
+                loop,
+                channels,
+                clock,
+                config.connectTimeout(),
+                config.endpointIdle(),
+                Math.max(1, config.sockets() * ENDPOINT_SHARE / SHARES));
         Sidecar sidecar = new Sidecar(loop, clock, config.settings(), config.seed(), pool, LOG);
-        Discovery discovery = new Discovery(loop, NioSocketChannel.class, clock, config.discovery(), mapper,
-                config.settings(), config.seed(), config.known(), sidecar, LOG);
-        ClientServer server = new ClientServer(loop, clock, sidecar, config.settings(),
-                Math.max(1, config.sockets() * CLIENT_SHARE / SHARES));
+        Discovery discovery = new Discovery(
+                loop,
+                NioSocketChannel.class,
+                clock,
+                config.discovery(),
+                mapper,
+                config.settings(),
+                config.seed(),
+                config.known(),
+                sidecar,
+                LOG);
+        ClientServer server = new ClientServer(
+                loop, clock, sidecar, config.settings(), Math.max(1, config.sockets() * CLIENT_SHARE / SHARES));
         return new Parts(server, sidecar, discovery, () -> {
             if (config.settings().listMustBeAsked()) {
                 server.ready();
--- a/src/main/java/cobaltrack/sidecar/RequestCheck.java
+++ b/src/main/java/cobaltrack/sidecar/RequestCheck.java
@@ -24,8 +24,15 @@
      * @param timeout how long the client waits, in milliseconds
      * @param headers what an endpoint is told, but for the time and the length
      */
-    record Checked(String id, int classIndex, int tenantIndex, double timeout, boolean repeat,
-                   HttpMethod method, String uri, HttpHeaders headers) { }
+    record Checked(
+            String id,
+            int classIndex,
+            int tenantIndex,
+            double timeout,
+            boolean repeat,
+            HttpMethod method,
+            String uri,
+            HttpHeaders headers) {}
 
     /** The answer that a bad request gets. */
     static final class Rejected extends Exception {
@@ -49,13 +56,22 @@
     private static final String TENANT = "Tenant";
     private static final String KEY = "Idempotency-Key";
     private static final String REPEAT = "Client-Retry";
-    private static final List<CharSequence> ONCE = List.of(ID, CLASS, TIMEOUT, KEY, TENANT, REPEAT,
-            HttpHeaderNames.HOST, HttpHeaderNames.CONTENT_LENGTH, HttpHeaderNames.TRANSFER_ENCODING,
+    private static final List<CharSequence> ONCE = List.of(
+            ID,
+            CLASS,
+            TIMEOUT,
+            KEY,
+            TENANT,
+            REPEAT,
+            HttpHeaderNames.HOST,
+            HttpHeaderNames.CONTENT_LENGTH,
+            HttpHeaderNames.TRANSFER_ENCODING,
             HttpHeaderNames.CONTENT_TYPE);
     /** Longer names than any client has; they are kept and passed on. */
     private static final int MAX_NAME_LENGTH = 256;
     /** An hour: no client waits longer, and timers far out would only pile up. */
     private static final double MAX_TIMEOUT_S = 3600;
+
     private static final double MILLIS = 1000;
 
     private final List<Contract.RequestClass> classes;
@@ -89,8 +105,9 @@
             require(headers.getAll(name).size() <= 1);
         }
         String encoding = headers.get(HttpHeaderNames.TRANSFER_ENCODING);
-        require(encoding == null || HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encoding)
-                && request.protocolVersion().minorVersion() > 0);
+        require(encoding == null
+                || HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encoding)
+                        && request.protocolVersion().minorVersion() > 0);
         require(request.protocolVersion().majorVersion() == 1 && visible(request.uri(), Integer.MAX_VALUE));
         if (HttpUtil.getContentLength(request, 0L) > ResponseAssembler.MAX_BODY_BYTES) {
             throw new Rejected(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
@@ -116,8 +133,15 @@
         String timeout = headers.get(TIMEOUT);
         double wait = timeout == null ? type.deadline() : Decimals.parse(timeout, MAX_TIMEOUT_S) * MILLIS;
         require(wait > 0);
-        return new Checked(id, k, tenantIndex.getOrDefault(headers.get(TENANT, ""), -1), wait,
-                "1".equals(headers.get(REPEAT)), method, request.uri(), onward(headers, id, key));
+        return new Checked(
+                id,
+                k,
+                tenantIndex.getOrDefault(headers.get(TENANT, ""), -1),
+                wait,
+                "1".equals(headers.get(REPEAT)),
+                method,
+                request.uri(),
+                onward(headers, id, key));
     }
 
     private static HttpHeaders onward(HttpHeaders from, String id, String key) {
--- a/src/main/java/cobaltrack/sidecar/ResponseAssembler.java
+++ b/src/main/java/cobaltrack/sidecar/ResponseAssembler.java
@@ -36,6 +36,7 @@
 
     /** Interim responses ahead of the final one; more are not meant to end. */
     private static final int MAX_INTERIM_RESPONSES = 8;
+
     private static final String PROTOCOL = "HTTP/1.";
     /** A status line up to its code: the protocol, a digit, a space and three digits. */
     private static final int MIN_STATUS_LINE = PROTOCOL.length() + 5;
@@ -171,8 +172,10 @@
 
     private static boolean isStatusLine(String text, int from) {
         int code = from + PROTOCOL.length() + 2;
-        return Character.isDigit(text.charAt(code - 2)) && text.charAt(code - 1) == ' '
-                && Character.isDigit(text.charAt(code)) && Character.isDigit(text.charAt(code + 1))
+        return Character.isDigit(text.charAt(code - 2))
+                && text.charAt(code - 1) == ' '
+                && Character.isDigit(text.charAt(code))
+                && Character.isDigit(text.charAt(code + 1))
                 && Character.isDigit(text.charAt(code + 2));
     }
 }
--- a/src/main/java/cobaltrack/sidecar/SelectBarrier.java
+++ b/src/main/java/cobaltrack/sidecar/SelectBarrier.java
@@ -8,7 +8,7 @@
  * has left, a connection that an endpoint has closed or a request that waits unread would be known only after the act.
  */
 final class SelectBarrier {
-    private SelectBarrier() { }
+    private SelectBarrier() {}
 
     /** Runs this right behind the first select that begins after the present turn. */
     static void runAfterSelect(EventLoop loop, Runnable task) {
--- a/src/main/java/cobaltrack/sidecar/Sidecar.java
+++ b/src/main/java/cobaltrack/sidecar/Sidecar.java
@@ -40,6 +40,7 @@
     private static final double MODULE_GRACE = 0.2;
     /** How often the wall clock is looked at; a server started between two opposite steps this close is misjudged. */
     private static final long OBSERVE_MS = 1000;
+
     private static final double MILLIS = 1000;
     private static final double NANOS_IN_MILLI = 1e6;
 
@@ -55,12 +56,17 @@
     private final Set<String> ids = new HashSet<>();
     private final ArrayDeque<Runnable> events = new ArrayDeque<>();
     private Runnable watch;
-    private Runnable whenListed = () -> { };
+    private Runnable whenListed = () -> {};
     private boolean telling;
     private long nextId;
 
     /** A sidecar that has taken nothing. */
-    Sidecar(EventLoop loop, Clock clock, Contract.Settings settings, long seed, EndpointPool pool,
+    Sidecar(
+            EventLoop loop,
+            Clock clock,
+            Contract.Settings settings,
+            long seed,
+            EndpointPool pool,
             Consumer<String> log) {
         this.loop = loop;
         this.clock = clock;
@@ -98,7 +104,7 @@
         tell(() -> module.servers(clock.now(), kind, servers));
         if (kind != Contract.ListKind.STALE) {
             whenListed.run();
-            whenListed = () -> { };
+            whenListed = () -> {};
         }
     }
 
@@ -121,8 +127,8 @@
     PendingRequest take(RequestCheck.Checked incoming, byte[] body, Client client) {
         double margin = lateness.margin(incoming.timeout());
         double left = incoming.timeout() - margin;
-        Contract.Request request = new Contract.Request(nextId++, incoming.classIndex(), incoming.tenantIndex(),
-                left, incoming.repeat());
+        Contract.Request request =
+                new Contract.Request(nextId++, incoming.classIndex(), incoming.tenantIndex(), left, incoming.repeat());
         PendingRequest pending = new PendingRequest(request, incoming, body, client);
         open.put(pending.request.id, pending);
         ids.add(incoming.id());
@@ -179,10 +185,13 @@
     private Future<?> after(double millis, Runnable task) {
         long nanos = (long) Math.ceil(Math.max(0, millis) * NANOS_IN_MILLI);
         double due = clock.now() + Math.max(0, millis);
-        return loop.schedule(() -> {
-            lateness.ran(due);
-            task.run();
-        }, nanos, TimeUnit.NANOSECONDS);
+        return loop.schedule(
+                () -> {
+                    lateness.ran(due);
+                    task.run();
+                },
+                nanos,
+                TimeUnit.NANOSECONDS);
     }
 
     @Override
@@ -321,9 +330,11 @@
         // Rule 2 again, for a further attempt whose connection came up late: time for a repeat may be over.
         private boolean mayRepeat(Attempt next, double now) {
             Contract.RequestClass k = settings.classes().get(request.classIndex);
-            return k.effect() == Contract.Effect.SAFE || attempts.stream().noneMatch(a -> a != next
-                    && (a.outcome == null || !a.outcome.neverRan)
-                    && (k.effect() == Contract.Effect.UNSAFE || now >= a.sentAt + k.window()));
+            return k.effect() == Contract.Effect.SAFE
+                    || attempts.stream()
+                            .noneMatch(a -> a != next
+                                    && (a.outcome == null || !a.outcome.neverRan)
+                                    && (k.effect() == Contract.Effect.UNSAFE || now >= a.sentAt + k.window()));
         }
 
         private void send(String server, double within) {
@@ -346,8 +357,13 @@
             if (body.length > 0 || incoming.method().equals(HttpMethod.POST)) {
                 headers.set(HttpHeaderNames.CONTENT_LENGTH, body.length);
             }
-            return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, incoming.method(), incoming.uri(),
-                    Unpooled.wrappedBuffer(body), headers, EmptyHttpHeaders.INSTANCE);
+            return new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    incoming.method(),
+                    incoming.uri(),
+                    Unpooled.wrappedBuffer(body),
+                    headers,
+                    EmptyHttpHeaders.INSTANCE);
         }
     }
 
--- a/src/main/java/cobaltrack/sidecar/StartTimes.java
+++ b/src/main/java/cobaltrack/sidecar/StartTimes.java
@@ -23,15 +23,17 @@
     private static final double MIN_STEP_MS = 100;
     /** Older steps are forgotten: a start from before them is long past by then. */
     private static final int MAX_OFFSETS = 8;
+
     private static final double MILLIS_PER_SECOND = 1000;
 
     /** A start as told, and on the module's clock. */
-    private record Start(double told, double converted) { }
+    private record Start(double told, double converted) {}
 
     private final Clock clock;
     private final Consumer<String> log;
     /** How far the wall clock has been ahead of the module's, the newest offset last. */
     private final ArrayDeque<Double> offsets = new ArrayDeque<>();
+
     private final Map<String, Start> starts = new HashMap<>();
 
     /** Knows no endpoint, and a wall clock that has not been stepped. */
--- a/src/main/java/cobaltrack/sidecar/Warmup.java
+++ b/src/main/java/cobaltrack/sidecar/Warmup.java
@@ -44,6 +44,7 @@
     private static final int REQUESTS = 600;
     /** A restarted sidecar is missed: on a very short core it had better serve cold than late. */
     private static final long MAX_WAIT_MS = 1500;
+
     private static final byte[] BODY = new byte[256];
 
     private final EventLoop loop = Main.eventLoop(new LoopActivity());
@@ -69,11 +70,15 @@
         int sockets = 8;
         EndpointPool pool =
                 new EndpointPool(loop, NioSocketChannel.class, clock, (int) MAX_WAIT_MS, MAX_WAIT_MS, sockets);
-        Sidecar sidecar = new Sidecar(loop, clock, settings, 0, pool, line -> { });
+        Sidecar sidecar = new Sidecar(loop, clock, settings, 0, pool, line -> {});
         ClientServer server = new ClientServer(loop, clock, sidecar, settings, sockets);
         SocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        ChannelFuture endpoint = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-                .childHandler(pipeline(true)).bind(any).awaitUninterruptibly();
+        ChannelFuture endpoint = new ServerBootstrap()
+                .group(loop)
+                .channel(NioServerSocketChannel.class)
+                .childHandler(pipeline(true))
+                .bind(any)
+                .awaitUninterruptibly();
         ChannelFuture front = server.listen(any).awaitUninterruptibly();
         if (endpoint.isSuccess() && front.isSuccess()) {
             ask(sidecar, endpoint.channel().localAddress(), front.channel().localAddress());
@@ -83,10 +88,17 @@
     }
 
     private void ask(Sidecar sidecar, SocketAddress endpoint, SocketAddress front) {
-        EndpointList list = new EndpointList(0, true, List.of(new EndpointList.Entry(
-                new Contract.Server("warm", Contract.Standing.UP, 1, "", 0, 0), endpoint)));
-        loop.execute(() -> sidecar.start(() -> { }, list));
-        new Bootstrap().group(loop).channel(NioSocketChannel.class).handler(pipeline(false)).connect(front);
+        EndpointList list = new EndpointList(
+                0,
+                true,
+                List.of(new EndpointList.Entry(
+                        new Contract.Server("warm", Contract.Standing.UP, 1, "", 0, 0), endpoint)));
+        loop.execute(() -> sidecar.start(() -> {}, list));
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .handler(pipeline(false))
+                .connect(front);
         try {
             if (!done.await(MAX_WAIT_MS, TimeUnit.MILLISECONDS)) {
                 loop.execute(() -> left = 0);
@@ -100,9 +112,11 @@
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
-                channel.pipeline().addLast(serves ? new HttpServerCodec() : new HttpClientCodec(),
-                        new HttpObjectAggregator(ResponseAssembler.MAX_BODY_BYTES),
-                        serves ? new Endpoint() : new Application());
+                channel.pipeline()
+                        .addLast(
+                                serves ? new HttpServerCodec() : new HttpClientCodec(),
+                                new HttpObjectAggregator(ResponseAssembler.MAX_BODY_BYTES),
+                                serves ? new Endpoint() : new Application());
             }
         };
     }
@@ -110,10 +124,11 @@
     private static final class Endpoint extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.OK, Unpooled.wrappedBuffer(BODY));
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, BODY.length).set(LoadReport.HEADER,
-                    "util=0.5,qps=10.5,eps=0");
+            DefaultFullHttpResponse response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(BODY));
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, BODY.length)
+                    .set(LoadReport.HEADER, "util=0.5,qps=10.5,eps=0");
             ctx.writeAndFlush(response);
         }
     }
@@ -137,13 +152,19 @@
                 done.countDown();
                 return;
             }
-            Contract.RequestClass k = settings.classes().get(left % settings.classes().size());
+            Contract.RequestClass k =
+                    settings.classes().get(left % settings.classes().size());
             boolean safe = k.effect() == Contract.Effect.SAFE;
-            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                    safe ? HttpMethod.GET : HttpMethod.POST, "/api?obj=warm", Unpooled.wrappedBuffer(BODY, 0,
-                    safe ? 0 : BODY.length));
-            request.headers().set("Request-Id", "warm" + left).set("Request-Class", k.name())
-                    .set("Idempotency-Key", "warm").set(RequestCheck.TIMEOUT, "5.000")
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1,
+                    safe ? HttpMethod.GET : HttpMethod.POST,
+                    "/api?obj=warm",
+                    Unpooled.wrappedBuffer(BODY, 0, safe ? 0 : BODY.length));
+            request.headers()
+                    .set("Request-Id", "warm" + left)
+                    .set("Request-Class", k.name())
+                    .set("Idempotency-Key", "warm")
+                    .set(RequestCheck.TIMEOUT, "5.000")
                     .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
             ctx.writeAndFlush(request);
         }
