--- a/src/main/java/cobaltrack/sidecar/Config.java
+++ b/src/main/java/loadbalancer/configuration/Configuration.java
@@ -1,7 +1,5 @@
-package cobaltrack.sidecar;
+package loadbalancer.configuration;
 
-import cobaltrack.Contract;
-import cobaltrack.SettingsReader;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -12,79 +10,97 @@
 import java.nio.file.Path;
 import java.util.HashMap;
 import java.util.Map;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.policy.PolicySettings;
 
 /**
  * Everything a sidecar is told at start.
  *
- * @param known the endpoints as last known, perhaps out of date; null if there is no such list
- * @param connectTimeout milliseconds after which a connection that is not up has failed
- * @param endpointIdle milliseconds after which an endpoint closes an idle connection
- * @param sockets file descriptors that the process may hold
+ * @param lastKnownList the endpoints as last known, perhaps out of date; null if there is no such list
+ * @param connectTimeoutMillis milliseconds after which a connection that is not up has failed
+ * @param endpointIdleMillis milliseconds after which an endpoint closes an idle connection
+ * @param maxDescriptors file descriptors that the process may hold
  */
-record Config(
-        InetSocketAddress listen,
-        InetSocketAddress discovery,
+public record Configuration(
+        InetSocketAddress listenAddress,
+        InetSocketAddress discoveryAddress,
         long seed,
-        Contract.Settings settings,
-        EndpointList known,
-        int connectTimeout,
-        double endpointIdle,
-        int sockets) {
+        PolicySettings settings,
+        EndpointList lastKnownList,
+        int connectTimeoutMillis,
+        double endpointIdleMillis,
+        int maxDescriptors) {
 
     private static final int HEX = 16;
 
     /**
      * Reads the configuration from a file.
      *
-     * @throws IllegalArgumentException with one line that says what is missing or malformed
+     * @throws ConfigurationException with one line that says what is missing or malformed
      */
-    static Config read(String path, ObjectMapper mapper) {
+    public static Configuration read(String path, ObjectMapper mapper) throws ConfigurationException {
         try {
             return parse(Files.readString(Path.of(path)), mapper);
         } catch (IOException | InvalidPathException e) {
-            throw new IllegalArgumentException("cannot read " + path, e);
+            throw new ConfigurationException(path, "cannot be read", e);
         }
     }
 
     /**
      * Reads the configuration.
      *
-     * @throws IllegalArgumentException with one line that says what is missing or malformed
+     * @throws ConfigurationException with one line that says what is missing or malformed
      */
-    static Config parse(String text, ObjectMapper mapper) {
+    public static Configuration parse(String text, ObjectMapper mapper) throws ConfigurationException {
         JsonNode json;
         try {
             json = mapper.readTree(text);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("not JSON: " + e.getOriginalMessage(), e);
+            throw new ConfigurationException("file", "is not JSON: " + e.getOriginalMessage(), e);
         }
         Map<String, String> pairs = new HashMap<>();
         flatten("", json.path("settings"), pairs);
         JsonNode limits = json.path("settings").path("limits");
         JsonNode known = json.path("known");
-        return new Config(
-                EndpointList.address(json.path("listen").asText()),
-                EndpointList.address(json.path("discovery").asText()),
+        return new Configuration(
+                address(json, "listen"),
+                address(json, "discovery"),
                 seed(json.path("seed").asText()),
                 new SettingsReader(pairs).settings(),
-                known.isObject() ? EndpointList.parse(known) : null,
+                known.isObject() ? knownEndpoints(known) : null,
                 (int) positive(limits, "connect_timeout"),
                 positive(limits, "conn_idle"),
                 (int) positive(json.path("limits"), "sockets"));
     }
 
-    private static long seed(String text) {
+    private static InetSocketAddress address(JsonNode json, String field) throws ConfigurationException {
+        try {
+            return EndpointList.address(json.path(field).asText());
+        } catch (IllegalArgumentException e) {
+            throw new ConfigurationException(field, e.getMessage(), e);
+        }
+    }
+
+    private static EndpointList knownEndpoints(JsonNode known) throws ConfigurationException {
+        try {
+            return EndpointList.parse(known);
+        } catch (IllegalArgumentException e) {
+            throw new ConfigurationException("known", e.getMessage(), e);
+        }
+    }
+
+    private static long seed(String text) throws ConfigurationException {
         try {
             return Long.parseUnsignedLong(text, HEX);
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("seed '" + text + "' is not a hexadecimal number", e);
+            throw new ConfigurationException("seed", "'" + text + "' is not a hexadecimal number", e);
         }
     }
 
-    private static double positive(JsonNode limits, String field) {
+    private static double positive(JsonNode limits, String field) throws ConfigurationException {
         double value = limits.path(field).asDouble();
         if (!(value >= 1 && value <= Integer.MAX_VALUE)) {
-            throw new IllegalArgumentException("limits." + field + " is missing or out of range");
+            throw new ConfigurationException("limits." + field, "is missing or out of range");
         }
         return value;
     }
--- a/src/main/java/cobaltrack/SettingsReader.java
+++ b/src/main/java/loadbalancer/configuration/SettingsReader.java
@@ -1,8 +1,16 @@
-package cobaltrack;
+package loadbalancer.configuration;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.policy.DeduplicationScope;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.LoadReporting;
+import loadbalancer.policy.OperatorRules;
+import loadbalancer.policy.PolicyLimits;
+import loadbalancer.policy.PolicySettings;
+import loadbalancer.policy.RequestClass;
+import loadbalancer.policy.Tenant;
 
 /**
  * The settings of an instance, read from path and value pairs. The simulator's first message and the real
@@ -19,33 +27,32 @@
     /**
      * The settings.
      *
-     * @throws IllegalArgumentException naming the key that is missing or makes no sense
+     * @throws ConfigurationException naming the key that is missing or makes no sense
      */
-    public Contract.Settings settings() {
-        List<Contract.RequestClass> classes = new ArrayList<>();
+    public PolicySettings settings() throws ConfigurationException {
+        List<RequestClass> classes = new ArrayList<>();
         int n = whole("classes.count", 1);
         for (int i = 0; i < n; i++) {
             classes.add(requestClass("classes." + i + "."));
         }
-        once("classes", classes.stream().map(Contract.RequestClass::name).toList());
-        List<Contract.Tenant> tenants = new ArrayList<>();
+        once("classes", classes.stream().map(RequestClass::name).toList());
+        List<Tenant> tenants = new ArrayList<>();
         int t = pairs.containsKey("tenants.count") ? whole("tenants.count", 0) : 0;
         for (int i = 0; i < t; i++) {
             String at = "tenants." + i + ".";
-            tenants.add(new Contract.Tenant(
-                    word(at + "name"), number(at + "share", 0, 1), number(at + "quota_per_s", 0, 1e12)));
+            tenants.add(new Tenant(word(at + "name"), number(at + "share", 0, 1), number(at + "quota_per_s", 0, 1e12)));
         }
-        once("tenants", tenants.stream().map(Contract.Tenant::name).toList());
+        once("tenants", tenants.stream().map(Tenant::name).toList());
         int sidecars = whole("peers_total", 1);
         int ordinal = whole("ordinal", 0);
         if (ordinal >= sidecars) {
             throw fault("ordinal", "is not below peers_total");
         }
-        Contract.Reporting reporting =
+        LoadReporting reporting =
                 switch (word("reporting.how")) {
-                    case "off" -> Contract.Reporting.NONE;
-                    case "inline" -> Contract.Reporting.WITH_ANSWERS;
-                    case "on_probe" -> Contract.Reporting.WITH_PROBES;
+                    case "off" -> LoadReporting.NONE;
+                    case "inline" -> LoadReporting.WITH_RESPONSES;
+                    case "on_probe" -> LoadReporting.WITH_PROBES;
                     default -> throw fault("reporting.how", "is not one of off, inline, on_probe");
                 };
         boolean ask =
@@ -55,32 +62,31 @@
                     default -> throw fault("discovery", "is not one of ask, push");
                 };
         double over = t == 0 ? 1 : number("over_share_worth", 0, 1);
-        return new Contract.Settings(
-                classes, tenants, over, limits(), obligations(), reporting, ask, sidecars, ordinal);
+        return new PolicySettings(classes, tenants, over, limits(), obligations(), reporting, ask, sidecars, ordinal);
     }
 
     // Requests name their class and tenant: of two of one name one would never be meant.
-    private static void once(String what, List<String> names) {
+    private static void once(String what, List<String> names) throws ConfigurationException {
         if (names.stream().distinct().count() < names.size()) {
             throw fault(what, "has a name twice");
         }
     }
 
-    private Contract.RequestClass requestClass(String at) {
-        Contract.Effect effect =
+    private RequestClass requestClass(String at) throws ConfigurationException {
+        Idempotency effect =
                 switch (word(at + "effect")) {
-                    case "idempotent" -> Contract.Effect.SAFE;
-                    case "deduplicated" -> Contract.Effect.KEYED;
-                    case "at_most_once" -> Contract.Effect.UNSAFE;
+                    case "idempotent" -> Idempotency.IDEMPOTENT;
+                    case "deduplicated" -> Idempotency.WITH_KEY;
+                    case "at_most_once" -> Idempotency.NOT_IDEMPOTENT;
                     default -> throw fault(at + "effect", "is not one of idempotent, deduplicated, at_most_once");
                 };
-        Contract.Group group = Contract.Group.ALL;
+        DeduplicationScope group = DeduplicationScope.ALL;
         double window = 0;
-        if (effect == Contract.Effect.KEYED) {
+        if (effect == Idempotency.WITH_KEY) {
             group = switch (word(at + "group")) {
-                case "all" -> Contract.Group.ALL;
-                case "zone" -> Contract.Group.ZONE;
-                case "cell" -> Contract.Group.CELL;
+                case "all" -> DeduplicationScope.ALL;
+                case "zone" -> DeduplicationScope.ZONE;
+                case "cell" -> DeduplicationScope.CELL;
                 default -> throw fault(at + "group", "is not one of all, zone, cell");
             };
             window = number(at + "window", 0, 1e12);
@@ -90,7 +96,7 @@
         if (aim > deadline) {
             throw fault(at + "slo", "is over the deadline of its class");
         }
-        return new Contract.RequestClass(
+        return new RequestClass(
                 word(at + "name"),
                 number(at + "value", 0, 1e12),
                 number(at + "late_worth", 0, 1),
@@ -102,8 +108,8 @@
                 pairs.containsKey(at + "stream") && flag(at + "stream"));
     }
 
-    private Contract.Limits limits() {
-        return new Contract.Limits(
+    private PolicyLimits limits() throws ConfigurationException {
+        return new PolicyLimits(
                 whole("limits.attempts_cap", 1),
                 flag("limits.may_duplicate"),
                 flag("limits.cancel"),
@@ -114,8 +120,8 @@
                 pairs.containsKey("costs.probe") ? number("costs.probe", 0, 1e12) : 0);
     }
 
-    private Contract.Obligations obligations() {
-        return new Contract.Obligations(
+    private OperatorRules obligations() throws ConfigurationException {
+        return new OperatorRules(
                 number("obligations.drain_grace", 0, 1e12),
                 number("obligations.fall_multiple", 1e-9, 1e12),
                 number("obligations.overload_for", 1e-3, 1e12),
@@ -124,7 +130,7 @@
                 pairs.containsKey("obligations.ask_within") ? number("obligations.ask_within", 0, 1e12) : 0);
     }
 
-    private String word(String key) {
+    private String word(String key) throws ConfigurationException {
         String v = pairs.get(key);
         if (v == null) {
             throw fault(key, "is missing");
@@ -132,7 +138,7 @@
         return v;
     }
 
-    private boolean flag(String key) {
+    private boolean flag(String key) throws ConfigurationException {
         return switch (word(key)) {
             case "true", "1" -> true;
             case "false", "0" -> false;
@@ -140,7 +146,7 @@
         };
     }
 
-    private int whole(String key, int least) {
+    private int whole(String key, int least) throws ConfigurationException {
         double v = number(key, least, 1e9);
         if (v != Math.rint(v)) {
             throw fault(key, "is not a whole number");
@@ -148,7 +154,7 @@
         return (int) v;
     }
 
-    private double number(String key, double least, double most) {
+    private double number(String key, double least, double most) throws ConfigurationException {
         double v;
         try {
             v = Double.parseDouble(word(key));
@@ -161,7 +167,7 @@
         return v;
     }
 
-    private static IllegalArgumentException fault(String key, String what) {
-        return new IllegalArgumentException(key + " " + what);
+    private static ConfigurationException fault(String key, String what) {
+        return new ConfigurationException(key, what);
     }
 }
--- a/src/main/java/cobaltrack/sidecar/Discovery.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -1,6 +1,5 @@
-package cobaltrack.sidecar;
+package loadbalancer.discovery;
 
-import cobaltrack.Contract;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.bootstrap.Bootstrap;
@@ -27,18 +26,21 @@
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import loadbalancer.eventloop.Clock;
+import loadbalancer.policy.PolicySettings;
+import loadbalancer.policy.WatchEvent;
 
 /**
  * The watch on the list of endpoints. Where discovery is asked, the module decides when to ask again after a
  * failure; where lists are pushed it does not ask at all, and the watch on the local agent is renewed here.
  */
-final class Discovery {
+public final class DiscoveryClient {
     /** Hears of lists, and of what keeps them from coming. */
-    interface Listener {
-        void list(Contract.ListKind kind, EndpointList list);
+    public interface Listener {
+        void endpointsReceived(WatchEvent kind, EndpointList list);
 
         /** There is no watch any more: {@code FAILED}, {@code SILENT} or {@code MOVED}. */
-        void noWatch(Contract.ListKind why);
+        void watchFailed(WatchEvent why);
     }
 
     private static final String PATH = "/registry/instances";
@@ -76,13 +78,13 @@
     private boolean spoilt;
 
     /** A watch that has not begun. {@code known} is the list to hear changes of, or null. */
-    Discovery(
+    public DiscoveryClient(
             EventLoop loop,
             Class<? extends Channel> channels,
             Clock clock,
             InetSocketAddress address,
             ObjectMapper mapper,
-            Contract.Settings settings,
+            PolicySettings settings,
             long seed,
             EndpointList known,
             Listener listener,
@@ -91,11 +93,10 @@
         this.clock = clock;
         this.address = address;
         this.mapper = mapper;
-        this.pushed = !settings.listMustBeAsked();
-        this.maxBackoff =
-                Math.min(MAX_BACKOFF_MS, Math.max(1, settings.obligations().drainGrace() * PUSHED_SHARE));
+        this.pushed = !settings.endpointListPolled();
+        this.maxBackoff = Math.min(MAX_BACKOFF_MS, Math.max(1, settings.rules().drainGraceMillis() * PUSHED_SHARE));
         this.random = new Random(seed);
-        this.seq = known == null ? null : known.seq();
+        this.seq = known == null ? null : known.version();
         this.listener = listener;
         this.log = log;
         this.bootstrap = new Bootstrap()
@@ -107,12 +108,12 @@
 
     private void lookForSilence() {
         if (current != null && clock.now() - current.aliveAt > current.patience) {
-            lost(current, Contract.ListKind.SILENT);
+            lost(current, WatchEvent.IDLE_TIMEOUT);
         }
     }
 
     /** Begins a watch, unless one is under way. */
-    void watch() {
+    public void watch() {
         if (current != null) {
             return;
         }
@@ -131,7 +132,7 @@
         connecting.addListener(f -> {
             // On the loop: where no descriptor is left, another thread tells so, of a channel that never was.
             if (!f.isSuccess()) {
-                loop.execute(() -> lost(call, Contract.ListKind.FAILED));
+                loop.execute(() -> lost(call, WatchEvent.FAILED));
             }
         });
     }
@@ -141,7 +142,7 @@
      * for, since another service's versions may be counted otherwise, and no change must be missed. What failed
      * at the old address delays nothing at the new one.
      */
-    void move(InetSocketAddress next) {
+    public void migrate(InetSocketAddress next) {
         if (next.equals(address)) {
             return;
         }
@@ -157,20 +158,20 @@
         if (pushed) {
             watch();
         } else {
-            listener.noWatch(Contract.ListKind.MOVED);
+            listener.watchFailed(WatchEvent.MOVED);
         }
     }
 
     // The one way on which a watch ends unmeant.
-    private void lost(Call call, Contract.ListKind why) {
+    private void lost(Call call, WatchEvent why) {
         if (call != current) {
             return;
         }
         current = null;
         call.end();
         if (!pushed) {
-            listener.noWatch(why);
-        } else if (why == Contract.ListKind.SILENT) {
+            listener.watchFailed(why);
+        } else if (why == WatchEvent.IDLE_TIMEOUT) {
             watch();
         } else {
             loop.schedule(this::watch, (long) pushedWait(), TimeUnit.MILLISECONDS);
@@ -187,7 +188,7 @@
     /** The call itself: asks once connected, and reads lists until its connection ends or shows no life. */
     private final class Call extends SimpleChannelInboundHandler<HttpObject> {
         private final double patience;
-        private final ListReader reader = new ListReader(mapper);
+        private final EndpointListDecoder reader = new EndpointListDecoder(mapper);
         private double aliveAt = clock.now();
         private Channel channel;
 
@@ -217,14 +218,14 @@
             }
             if (message.decoderResult().isFailure()
                     || message instanceof HttpResponse r && !r.status().equals(HttpResponseStatus.OK)) {
-                lost(this, Contract.ListKind.FAILED);
+                lost(this, WatchEvent.FAILED);
                 return;
             }
             if (message instanceof HttpContent part) {
                 read(part);
             }
             if (message instanceof LastHttpContent) {
-                lost(this, Contract.ListKind.FAILED);
+                lost(this, WatchEvent.FAILED);
             }
         }
 
@@ -237,10 +238,10 @@
             } catch (IOException | IllegalArgumentException e) {
                 if (this == current && !spoilt) {
                     spoilt = true;
-                    log.accept("server list not taken over: "
+                    log.accept("malformed endpoint list ignored: "
                             + e.getMessage().lines().findFirst().orElse(""));
                 }
-                lost(this, Contract.ListKind.FAILED);
+                lost(this, WatchEvent.FAILED);
             }
         }
 
@@ -249,20 +250,20 @@
                 return;
             }
             EndpointList list = EndpointList.parse(object);
-            if (!list.whole() && seq != null && list.seq() < seq) {
+            if (!list.snapshot() && seq != null && list.version() < seq) {
                 // A service that counts anew: what it calls changed is not all that has, since our list.
                 seq = null;
                 throw new IllegalArgumentException("it goes back in its version; the whole is asked for");
             }
-            seq = list.seq();
+            seq = list.version();
             backoff = FIRST_BACKOFF_MS;
             spoilt = false;
-            listener.list(list.whole() ? Contract.ListKind.FULL : Contract.ListKind.CHANGES, list);
+            listener.endpointsReceived(list.snapshot() ? WatchEvent.SNAPSHOT : WatchEvent.DELTA, list);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            lost(this, Contract.ListKind.FAILED);
+            lost(this, WatchEvent.FAILED);
         }
 
         @Override
--- a/src/main/java/cobaltrack/sidecar/EndpointList.java
+++ b/src/main/java/loadbalancer/discovery/EndpointList.java
@@ -1,6 +1,5 @@
-package cobaltrack.sidecar;
+package loadbalancer.discovery;
 
-import cobaltrack.Contract;
 import com.fasterxml.jackson.databind.JsonNode;
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
@@ -9,14 +8,16 @@
 import java.net.UnknownHostException;
 import java.util.ArrayList;
 import java.util.List;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointStatus;
 
 /**
  * What discovery tells: all endpoints if {@code whole}, else those that changed, as of version {@code seq}.
  */
-record EndpointList(long seq, boolean whole, List<Entry> entries) {
+public record EndpointList(long version, boolean snapshot, List<Entry> entries) {
 
     /** An endpoint for the module, and where to connect to it; null for one that is gone. */
-    record Entry(Contract.Server server, SocketAddress address) {}
+    public record Entry(Endpoint endpoint, SocketAddress address) {}
 
     private static final int MAX_PORT = 65535;
 
@@ -25,7 +26,7 @@
      *
      * @throws IllegalArgumentException naming what is wrong
      */
-    static EndpointList parse(JsonNode json) {
+    public static EndpointList parse(JsonNode json) {
         JsonNode hosts = json.path("hosts");
         if (!json.path("seq").canConvertToLong() || !json.path("whole").isBoolean() || !hosts.isArray()) {
             throw new IllegalArgumentException("seq, whole or hosts is missing or malformed");
@@ -42,16 +43,16 @@
         if (!host.path("host").isTextual() || id.isEmpty()) {
             throw new IllegalArgumentException("host is missing or malformed");
         }
-        Contract.Standing standing =
+        EndpointStatus standing =
                 switch (host.path("health").asText()) {
-                    case "ready" -> Contract.Standing.UP;
-                    case "draining" -> Contract.Standing.DRAINING;
-                    case "gone" -> Contract.Standing.GONE;
+                    case "ready" -> EndpointStatus.READY;
+                    case "draining" -> EndpointStatus.DRAINING;
+                    case "gone" -> EndpointStatus.REMOVED;
                     default -> throw new IllegalArgumentException("health of " + id + " is unknown");
                 };
         double born = number(host, "born_ms", 0);
         double share = number(host, "share", 1);
-        Contract.Server server = new Contract.Server(
+        Endpoint server = new Endpoint(
                 id,
                 standing,
                 share,
@@ -60,7 +61,7 @@
                 born);
         // Where nothing will be sent again no address is needed, and a list must not be lost for the lack
         // of one.
-        boolean gone = standing == Contract.Standing.GONE;
+        boolean gone = standing == EndpointStatus.REMOVED;
         return new Entry(server, gone ? null : address(host.path("dial").asText()));
     }
 
@@ -76,7 +77,7 @@
     }
 
     /** An address and port such as {@code 127.0.0.1:9000}; names are not looked up, for there is no DNS. */
-    static InetSocketAddress address(String text) {
+    public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
         if (ip == null) {
--- a/src/main/java/cobaltrack/sidecar/ListReader.java
+++ b/src/main/java/loadbalancer/discovery/EndpointListDecoder.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.discovery;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -16,7 +16,7 @@
  * The objects in the bytes of one watch. An object is complete when its JSON is: it may be indented, come in any
  * number of pieces, or together with others.
  */
-final class ListReader {
+final class EndpointListDecoder {
     /** The bytes of one object at most: some thousand endpoints; more is not meant to end. */
     static final int MAX_OBJECT_BYTES = 1 << 20;
 
@@ -27,7 +27,7 @@
     private int depth;
     private int size;
 
-    ListReader(ObjectMapper mapper) {
+    EndpointListDecoder(ObjectMapper mapper) {
         this.mapper = mapper;
         try {
             this.parser = mapper.getFactory().createNonBlockingByteArrayParser();
--- a/src/main/java/cobaltrack/sidecar/StartTimes.java
+++ b/src/main/java/loadbalancer/discovery/StartTimes.java
@@ -1,6 +1,5 @@
-package cobaltrack.sidecar;
+package loadbalancer.discovery;
 
-import cobaltrack.Contract;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,6 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import loadbalancer.eventloop.Clock;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointStatus;
 
 /**
  * Converts the start of each endpoint, which discovery tells in Unix time, to the module's clock.
@@ -18,7 +20,7 @@
  * can stand for, the latest that is not in the future is taken: an endpoint may pass for younger than it is, which
  * costs some of its share, but never for older, which would overload it in its slow start.
  */
-final class StartTimes {
+public final class StartTimes {
     /** Less than this is drift, or a pause between two readings. */
     private static final double MIN_STEP_MS = 100;
     /** Older steps are forgotten: a start from before them is long past by then. */
@@ -37,14 +39,14 @@
     private final Map<String, Start> starts = new HashMap<>();
 
     /** Knows no endpoint, and a wall clock that has not been stepped. */
-    StartTimes(Clock clock, Consumer<String> log) {
+    public StartTimes(Clock clock, Consumer<String> log) {
         this.clock = clock;
         this.log = log;
         offsets.add(0.0);
     }
 
     /** Looks at the wall clock; to be called often, so that no step goes unseen. */
-    void observeWallClock() {
+    public void observeWallClock() {
         double offset = clock.wallClockOffset();
         double step = offset - offsets.peekLast();
         if (Math.abs(step) < MIN_STEP_MS) {
@@ -58,14 +60,14 @@
     }
 
     /** The endpoints of this list for the module, with their starts on its clock. */
-    List<Contract.Server> convert(EndpointList list) {
+    public List<Endpoint> convert(EndpointList list) {
         observeWallClock();
-        if (list.whole()) {
+        if (list.snapshot()) {
             forgetAllBut(list.entries());
         }
-        List<Contract.Server> converted = new ArrayList<>(list.entries().size());
+        List<Endpoint> converted = new ArrayList<>(list.entries().size());
         for (EndpointList.Entry entry : list.entries()) {
-            converted.add(convert(entry.server()));
+            converted.add(convert(entry.endpoint()));
         }
         return converted;
     }
@@ -73,22 +75,22 @@
     private void forgetAllBut(List<EndpointList.Entry> entries) {
         Set<String> named = new HashSet<>();
         for (EndpointList.Entry entry : entries) {
-            named.add(entry.server().id());
+            named.add(entry.endpoint().id());
         }
         starts.keySet().retainAll(named);
     }
 
-    private Contract.Server convert(Contract.Server server) {
-        if (server.standing() == Contract.Standing.GONE) {
+    private Endpoint convert(Endpoint server) {
+        if (server.status() == EndpointStatus.REMOVED) {
             starts.remove(server.id());
             return server;
         }
         Start start = starts.get(server.id());
-        if (start == null || start.told != server.startedAt()) {
-            start = new Start(server.startedAt(), latestPast(server.startedAt()));
+        if (start == null || start.told != server.startedAtMillis()) {
+            start = new Start(server.startedAtMillis(), latestPast(server.startedAtMillis()));
             starts.put(server.id(), start);
         }
-        return server.withStart(start.converted);
+        return server.withStartedAt(start.converted);
     }
 
     // Zero stands for long ago.
--- a/src/main/java/cobaltrack/sidecar/ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/ClientConnection.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.downstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -26,13 +26,20 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.eventloop.Clock;
+import loadbalancer.protocol.Decimals;
+import loadbalancer.protocol.ProtocolLimits;
+import loadbalancer.proxy.ClientRequest;
+import loadbalancer.proxy.RequestDispatcher;
+import loadbalancer.proxy.ResponseListener;
+import loadbalancer.upstream.UpstreamResponse;
 
 /**
  * One connection from the application and the one request that it may carry at a time. A bad request is
  * answered as soon as its head shows that, and ends the connection: nobody knows where the next one would
  * begin.
  */
-final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements Sidecar.Client {
+final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements ResponseListener {
     /** What the connection is about; {@link #since} tells for how long. */
     enum Phase {
         /** It has sent nothing yet. */
@@ -65,8 +72,8 @@
     private double since;
     private boolean first = true;
     private HttpRequest head;
-    private RequestCheck.Checked checked;
-    private Sidecar.PendingRequest pending;
+    private ClientRequest checked;
+    private RequestDispatcher.PendingRequest pending;
 
     ClientConnection(ClientServer server, Clock clock) {
         this.server = server;
@@ -166,15 +173,15 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         enter(Phase.ENDING);
-        giveUp();
+        abort();
         server.closed(this);
     }
 
-    private void giveUp() {
-        Sidecar.PendingRequest gone = pending;
+    private void abort() {
+        RequestDispatcher.PendingRequest gone = pending;
         pending = null;
         if (gone != null) {
-            gone.abandon();
+            gone.clientDisconnected();
         }
     }
 
@@ -195,14 +202,14 @@
         if (message instanceof HttpRequest request) {
             try {
                 check(request);
-            } catch (RequestCheck.Rejected e) {
+            } catch (RequestValidator.Rejected e) {
                 reject(e.status());
                 return;
             }
         }
         if (message instanceof HttpContent part) {
             ByteBuf bytes = part.content();
-            if (body.size() + bytes.readableBytes() > ResponseAssembler.MAX_BODY_BYTES) {
+            if (body.size() + bytes.readableBytes() > ProtocolLimits.MAX_BODY_BYTES) {
                 reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
                 return;
             }
@@ -213,10 +220,10 @@
         }
     }
 
-    private void check(HttpRequest request) throws RequestCheck.Rejected {
+    private void check(HttpRequest request) throws RequestValidator.Rejected {
         head = request;
-        RequestCheck.framing(request);
-        checked = RequestCheck.path(request).equals(READY_PATH)
+        RequestValidator.framing(request);
+        checked = RequestValidator.path(request).equals(READY_PATH)
                 ? null
                 : server.check().application(request);
     }
@@ -247,25 +254,25 @@
         if (!head.method().equals(HttpMethod.GET)) {
             reject(HttpResponseStatus.METHOD_NOT_ALLOWED);
         } else {
-            write(response(server.serving() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE));
+            write(response(server.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE));
         }
     }
 
     private void take() {
-        RequestCheck.Checked request = checked;
+        ClientRequest request = checked;
         // Guards against running what another client has asked for twice: an id that is held is not new, also
         // while an attempt is out for a client that has left.
-        if (server.sidecar().holds(request.id())) {
+        if (server.dispatcher().isInFlight(request.id())) {
             reject(HttpResponseStatus.BAD_REQUEST);
             return;
         }
         enter(Phase.OPEN);
         // Guards against a request that comes whole only now: nothing would fail it before the kill.
         if (server.expired()) {
-            refused(0);
+            rejected(0);
             return;
         }
-        Sidecar.PendingRequest taken = server.sidecar().take(request, body.toByteArray(), this);
+        RequestDispatcher.PendingRequest taken = server.dispatcher().admit(request, body.toByteArray(), this);
         body.reset();
         // The answer may have gone out already.
         if (phase == Phase.OPEN) {
@@ -274,7 +281,7 @@
     }
 
     @Override
-    public void served(EndpointAttempt.Answer answer) {
+    public void succeeded(UpstreamResponse answer) {
         FullHttpResponse response = response(HttpResponseStatus.OK, answer.body());
         if (answer.contentType() != null) {
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
@@ -283,10 +290,10 @@
     }
 
     @Override
-    public void refused(double retryAfter) {
+    public void rejected(double retryAfter) {
         FullHttpResponse response = response(HttpResponseStatus.SERVICE_UNAVAILABLE);
         if (retryAfter > 0) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, Decimals.thousandths(retryAfter / MILLIS));
+            response.headers().set(HttpHeaderNames.RETRY_AFTER, Decimals.formatThousandths(retryAfter / MILLIS));
         }
         write(response);
     }
@@ -304,7 +311,7 @@
     private void reject(HttpResponseStatus status) {
         // Before it is given up: what that ends must find no answer due here.
         enter(Phase.ENDING);
-        giveUp();
+        abort();
         end(response(status));
     }
 
@@ -321,7 +328,7 @@
 
     private void write(FullHttpResponse response) {
         pending = null;
-        if (!HttpUtil.isKeepAlive(head) || server.draining()) {
+        if (!HttpUtil.isKeepAlive(head) || server.shuttingDown()) {
             end(response);
             return;
         }
@@ -333,7 +340,7 @@
                 checked = null;
                 decoder.heads = 0;
                 enter(Phase.IDLE);
-                if (server.draining()) {
+                if (server.shuttingDown()) {
                     close();
                 }
             } else {
--- a/src/main/java/cobaltrack/sidecar/ClientServer.java
+++ b/src/main/java/loadbalancer/downstream/ClientServer.java
@@ -1,6 +1,5 @@
-package cobaltrack.sidecar;
+package loadbalancer.downstream;
 
-import cobaltrack.Contract;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.Channel;
@@ -18,11 +17,15 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.eventloop.Clock;
+import loadbalancer.eventloop.SelectBarrier;
+import loadbalancer.policy.PolicySettings;
+import loadbalancer.proxy.RequestDispatcher;
 
 /**
  * Listens for the application: how many connections it may have and for how long, readiness and the drain.
  */
-final class ClientServer {
+public final class ClientServer {
     /** A request comes whole within this time, or is answered 408: bad clients are owed a word within 3 s. */
     private static final double MAX_RECEIVE_MS = 2500;
     /** A client that does not read its answer for so long is gone. */
@@ -42,9 +45,9 @@
 
     private final EventLoop loop;
     private final Clock clock;
-    private final Sidecar sidecar;
-    private final RequestCheck check;
-    private final DrainSchedule drainSchedule;
+    private final RequestDispatcher sidecar;
+    private final RequestValidator check;
+    private final ShutdownSchedule drainSchedule;
     private final int maxConnections;
     private final Set<ClientConnection> connections = new LinkedHashSet<>();
     private Channel listener;
@@ -59,19 +62,20 @@
      *
      * @param maxConnections connections from the application at once; beyond that, room is made
      */
-    ClientServer(EventLoop loop, Clock clock, Sidecar sidecar, Contract.Settings settings, int maxConnections) {
+    public ClientServer(
+            EventLoop loop, Clock clock, RequestDispatcher sidecar, PolicySettings settings, int maxConnections) {
         this.loop = loop;
         this.clock = clock;
         this.sidecar = sidecar;
-        this.check = new RequestCheck(settings);
-        this.drainSchedule = DrainSchedule.of(settings);
+        this.check = new RequestValidator(settings);
+        this.drainSchedule = ShutdownSchedule.of(settings);
         this.maxConnections = maxConnections;
         loop.scheduleAtFixedRate(
                 () -> SelectBarrier.runAfterSelect(loop, this::sweep), SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Listens on this address only. */
-    ChannelFuture listen(SocketAddress address) {
+    public ChannelFuture listen(SocketAddress address) {
         return new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -117,15 +121,15 @@
     }
 
     /** From now on {@code /health/ready} answers 200. */
-    void ready() {
+    public void markReady() {
         ready = true;
     }
 
-    boolean serving() {
+    public boolean isReady() {
         return ready && drained == null;
     }
 
-    boolean draining() {
+    boolean shuttingDown() {
         return draining;
     }
 
@@ -134,16 +138,16 @@
         return expired;
     }
 
-    RequestCheck check() {
+    RequestValidator check() {
         return check;
     }
 
-    Sidecar sidecar() {
+    RequestDispatcher dispatcher() {
         return sidecar;
     }
 
     /** Connections from the application that are open. */
-    int connections() {
+    public int connections() {
         return connections.size();
     }
 
@@ -224,7 +228,7 @@
      * held is failed while it can be. Each step comes after a fresh look at the sockets, for what came in a late
      * turn must not be taken for an idle connection or for none.
      */
-    void drain(Runnable whenDrained) {
+    public void shutDown(Runnable whenDrained) {
         drained = whenDrained;
         drainStep(drainSchedule.closeIdleAt(), () -> {
             draining = true;
@@ -236,7 +240,7 @@
         });
         drainStep(drainSchedule.failHeldAt(), () -> {
             expired = true;
-            sidecar.failAll();
+            sidecar.failPending();
             closeAll(ClientConnection.Phase.SILENT);
         });
     }
--- a/src/main/java/cobaltrack/sidecar/RequestCheck.java
+++ b/src/main/java/loadbalancer/downstream/RequestValidator.java
@@ -1,6 +1,5 @@
-package cobaltrack.sidecar;
+package loadbalancer.downstream;
 
-import cobaltrack.Contract;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
@@ -12,28 +11,19 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.PolicySettings;
+import loadbalancer.policy.RequestClass;
+import loadbalancer.protocol.Decimals;
+import loadbalancer.protocol.HeaderNames;
+import loadbalancer.protocol.ProtocolLimits;
+import loadbalancer.proxy.ClientRequest;
 
 /**
  * Checks the head of a client's request, before its body is read. What it lets through is made anew from the
  * checked fields alone, so that nothing else of a client's reaches the module or an endpoint.
  */
-final class RequestCheck {
-    /**
-     * A request that may go on.
-     *
-     * @param timeout how long the client waits, in milliseconds
-     * @param headers what an endpoint is told, but for the time and the length
-     */
-    record Checked(
-            String id,
-            int classIndex,
-            int tenantIndex,
-            double timeout,
-            boolean repeat,
-            HttpMethod method,
-            String uri,
-            HttpHeaders headers) {}
-
+final class RequestValidator {
     /** The answer that a bad request gets. */
     static final class Rejected extends Exception {
         private static final long serialVersionUID = 1;
@@ -49,20 +39,14 @@
         }
     }
 
-    static final String TIMEOUT = "Request-Timeout";
     private static final String API_PATH = "/api";
-    private static final String ID = "Request-Id";
-    private static final String CLASS = "Request-Class";
-    private static final String TENANT = "Tenant";
-    private static final String KEY = "Idempotency-Key";
-    private static final String REPEAT = "Client-Retry";
     private static final List<CharSequence> ONCE = List.of(
-            ID,
-            CLASS,
-            TIMEOUT,
-            KEY,
-            TENANT,
-            REPEAT,
+            HeaderNames.REQUEST_ID,
+            HeaderNames.REQUEST_CLASS,
+            HeaderNames.REQUEST_TIMEOUT,
+            HeaderNames.IDEMPOTENCY_KEY,
+            HeaderNames.TENANT,
+            HeaderNames.CLIENT_RETRY,
             HttpHeaderNames.HOST,
             HttpHeaderNames.CONTENT_LENGTH,
             HttpHeaderNames.TRANSFER_ENCODING,
@@ -74,12 +58,12 @@
 
     private static final double MILLIS = 1000;
 
-    private final List<Contract.RequestClass> classes;
+    private final List<RequestClass> classes;
     private final Map<String, Integer> classIndex = new HashMap<>();
     private final Map<String, Integer> tenantIndex = new HashMap<>();
 
     /** A check by the classes and tenants of these settings. */
-    RequestCheck(Contract.Settings settings) {
+    RequestValidator(PolicySettings settings) {
         this.classes = settings.classes();
         for (int i = 0; i < classes.size(); i++) {
             classIndex.put(classes.get(i).name(), i);
@@ -109,36 +93,36 @@
                 || HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encoding)
                         && request.protocolVersion().minorVersion() > 0);
         require(request.protocolVersion().majorVersion() == 1 && visible(request.uri(), Integer.MAX_VALUE));
-        if (HttpUtil.getContentLength(request, 0L) > ResponseAssembler.MAX_BODY_BYTES) {
+        if (HttpUtil.getContentLength(request, 0L) > ProtocolLimits.MAX_BODY_BYTES) {
             throw new Rejected(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         }
     }
 
     /** The request, if its path is the application's and all that it says of itself is right. */
-    Checked application(HttpRequest request) throws Rejected {
+    ClientRequest application(HttpRequest request) throws Rejected {
         if (!path(request).equals(API_PATH)) {
             throw new Rejected(HttpResponseStatus.NOT_FOUND);
         }
         HttpHeaders headers = request.headers();
-        String id = headers.get(ID, "");
-        Integer k = classIndex.get(headers.get(CLASS, ""));
+        String id = headers.get(HeaderNames.REQUEST_ID, "");
+        Integer k = classIndex.get(headers.get(HeaderNames.REQUEST_CLASS, ""));
         require(k != null && visible(id, MAX_NAME_LENGTH));
-        Contract.RequestClass type = classes.get(k);
-        HttpMethod method = type.effect() == Contract.Effect.SAFE ? HttpMethod.GET : HttpMethod.POST;
+        RequestClass type = classes.get(k);
+        HttpMethod method = type.idempotency() == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
         if (!request.method().equals(method)) {
             throw new Rejected(HttpResponseStatus.METHOD_NOT_ALLOWED);
         }
-        String key = headers.get(KEY);
-        require(key == null ? type.effect() != Contract.Effect.KEYED : visible(key, MAX_NAME_LENGTH));
-        String timeout = headers.get(TIMEOUT);
-        double wait = timeout == null ? type.deadline() : Decimals.parse(timeout, MAX_TIMEOUT_S) * MILLIS;
+        String key = headers.get(HeaderNames.IDEMPOTENCY_KEY);
+        require(key == null ? type.idempotency() != Idempotency.WITH_KEY : visible(key, MAX_NAME_LENGTH));
+        String timeout = headers.get(HeaderNames.REQUEST_TIMEOUT);
+        double wait = timeout == null ? type.deadlineMillis() : Decimals.parse(timeout, MAX_TIMEOUT_S) * MILLIS;
         require(wait > 0);
-        return new Checked(
+        return new ClientRequest(
                 id,
                 k,
-                tenantIndex.getOrDefault(headers.get(TENANT, ""), -1),
+                tenantIndex.getOrDefault(headers.get(HeaderNames.TENANT, ""), -1),
                 wait,
-                "1".equals(headers.get(REPEAT)),
+                "1".equals(headers.get(HeaderNames.CLIENT_RETRY)),
                 method,
                 request.uri(),
                 onward(headers, id, key));
@@ -148,10 +132,10 @@
         HttpHeaders headers = new DefaultHttpHeaders();
         // An endpoint wants one; a client of the older HTTP may have none.
         headers.set(HttpHeaderNames.HOST, from.get(HttpHeaderNames.HOST, ""));
-        headers.set(ID, id);
-        headers.set(CLASS, from.get(CLASS));
+        headers.set(HeaderNames.REQUEST_ID, id);
+        headers.set(HeaderNames.REQUEST_CLASS, from.get(HeaderNames.REQUEST_CLASS));
         if (key != null) {
-            headers.set(KEY, key);
+            headers.set(HeaderNames.IDEMPOTENCY_KEY, key);
         }
         String type = from.get(HttpHeaderNames.CONTENT_TYPE);
         if (type != null) {
--- a/src/main/java/cobaltrack/sidecar/DrainSchedule.java
+++ b/src/main/java/loadbalancer/downstream/ShutdownSchedule.java
@@ -1,6 +1,7 @@
-package cobaltrack.sidecar;
+package loadbalancer.downstream;
 
-import cobaltrack.Contract;
+import loadbalancer.policy.PolicySettings;
+import loadbalancer.policy.RequestClass;
 
 /**
  * When a drain takes its steps, in milliseconds after SIGTERM.
@@ -12,7 +13,7 @@
  * @param stopAcceptingAt no new connection is taken any more
  * @param failHeldAt whatever is still held is failed, and what comes later is refused at once
  */
-record DrainSchedule(double closeIdleAt, double stopAcceptingAt, double failHeldAt) {
+record ShutdownSchedule(double closeIdleAt, double stopAcceptingAt, double failHeldAt) {
     private static final double LONGEST_DEADLINE_COUNTED_MS = 3000;
     private static final double KILL_AFTER_DEADLINE_MS = 700;
     /** Kept before the kill, for a late loop and for the last answers to go out. */
@@ -25,19 +26,19 @@
     private static final double CROSSING_MS = 400;
 
     /** The schedule under these settings. */
-    static DrainSchedule of(Contract.Settings settings) {
+    static ShutdownSchedule of(PolicySettings settings) {
         double longest = 0;
-        for (Contract.RequestClass type : settings.classes()) {
-            longest = Math.max(longest, type.deadline());
+        for (RequestClass type : settings.classes()) {
+            longest = Math.max(longest, type.deadlineMillis());
         }
         return of(longest);
     }
 
     /** The schedule where the longest deadline of a class is so many milliseconds. */
-    static DrainSchedule of(double longestDeadline) {
+    static ShutdownSchedule of(double longestDeadline) {
         double failHeldAt = killAt(longestDeadline) - RESERVE_MS;
         double closeIdleAt = Math.min(failHeldAt, Math.max(MIN_OPEN_MS, failHeldAt - LAST_ANSWERS_MS));
-        return new DrainSchedule(closeIdleAt, closeIdleAt + CROSSING_MS, failHeldAt);
+        return new ShutdownSchedule(closeIdleAt, closeIdleAt + CROSSING_MS, failHeldAt);
     }
 
     /** The earliest moment at which SIGKILL may come. */
--- a/src/main/java/cobaltrack/sidecar/BusyLoopDetector.java
+++ b/src/main/java/loadbalancer/eventloop/BusyLoopDetector.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.eventloop;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
@@ -9,7 +9,7 @@
  * Logs a line when an event loop uses much processor time with hardly any socket events to show for it. Many turns
  * then point at a loop that polls without waiting, few turns at a task that runs for long.
  */
-final class BusyLoopDetector implements Runnable {
+public final class BusyLoopDetector implements Runnable {
     private static final long CHECK_INTERVAL_MS = 1000;
     private static final double LOG_INTERVAL_MS = 10_000;
     /** The share of the time that passed from which the processor time used is much. */
@@ -45,7 +45,7 @@
     }
 
     /** Checks this loop once a second, on the loop itself. */
-    static void start(EventLoop loop, LoopActivity activity, Clock clock, Consumer<String> log) {
+    public static void start(EventLoop loop, LoopActivity activity, Clock clock, Consumer<String> log) {
         BusyLoopDetector detector = new BusyLoopDetector(activity, clock, new ThreadProcessorTime(), log);
         loop.scheduleWithFixedDelay(detector, 0, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/cobaltrack/sidecar/CoarseTimerIoHandler.java
+++ b/src/main/java/loadbalancer/eventloop/CoarseTimerIoHandler.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.eventloop;
 
 import io.netty.channel.IoHandle;
 import io.netty.channel.IoHandler;
--- a/src/main/java/cobaltrack/sidecar/LoopActivity.java
+++ b/src/main/java/loadbalancer/eventloop/LoopActivity.java
@@ -1,7 +1,7 @@
-package cobaltrack.sidecar;
+package loadbalancer.eventloop;
 
 /** What an event loop has done since it started. Only the loop's own thread reads or changes it. */
-final class LoopActivity {
+public final class LoopActivity {
     private long turns;
     private long socketEvents;
 
@@ -12,12 +12,12 @@
     }
 
     /** How often the loop has looked at its sockets, whether or not it waited for them. */
-    long turns() {
+    public long turns() {
         return turns;
     }
 
     /** How many sockets were found ready in all these turns. */
-    long socketEvents() {
+    public long socketEvents() {
         return socketEvents;
     }
 }
--- a/src/main/java/cobaltrack/sidecar/LoopLateness.java
+++ b/src/main/java/loadbalancer/eventloop/LoopLateness.java
@@ -1,10 +1,10 @@
-package cobaltrack.sidecar;
+package loadbalancer.eventloop;
 
 /**
  * How late the loop lately ran what was due, and what that takes off a client's wait. A request may have waited so
  * long before it was read, and its answer may wait so long again.
  */
-final class LoopLateness {
+public final class LoopLateness {
     /** What a request's way here and its answer's way back take; of a short wait no more than this share. */
     private static final double WAY_MS = 25;
 
@@ -23,12 +23,12 @@
     private double lateAt;
 
     /** A loop that has been in time so far. */
-    LoopLateness(Clock clock) {
+    public LoopLateness(Clock clock) {
         this.clock = clock;
     }
 
     /** Notes that something runs now that was due then, in the clock's milliseconds. */
-    void ran(double due) {
+    public void recordRun(double due) {
         double now = clock.now();
         if (now - due > current()) {
             late = Math.min(MAX_REMEMBERED_MS, now - due);
@@ -37,17 +37,17 @@
     }
 
     /** How late the loop lately was, in milliseconds; it falls by half in a while. */
-    double current() {
+    public double current() {
         return late * Math.pow(0.5, (clock.now() - lateAt) / HALF_LIFE_MS);
     }
 
     /** The milliseconds to take off a client's wait of this many. */
-    double margin(double timeout) {
-        return margin(timeout, current());
+    public double safetyMargin(double timeout) {
+        return safetyMargin(timeout, current());
     }
 
     /** The milliseconds to take off a client's wait while the loop is so late. */
-    static double margin(double timeout, double late) {
+    public static double safetyMargin(double timeout, double late) {
         return Math.min(WAY_MS, timeout * MAX_WAY_SHARE) + Math.min(TIMES_LATE * late, timeout * MAX_LATE_SHARE);
     }
 }
--- a/src/main/java/cobaltrack/sidecar/ThreadProcessorTime.java
+++ b/src/main/java/loadbalancer/eventloop/ThreadProcessorTime.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.eventloop;
 
 import java.io.IOException;
 import java.io.RandomAccessFile;
--- a/src/main/java/cobaltrack/sidecar/ArchiveTraining.java
+++ b/src/main/java/loadbalancer/lifecycle/ClassArchiveTraining.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.lifecycle;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -15,6 +15,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.protocol.Decimals;
 
 /**
  * What the build runs so that the class archive holds more than an ordinary start needs: a sidecar as {@code
@@ -23,7 +24,7 @@
  * no part of {@code check}, which is to be quick, and {@code serve} never loads this class. A step that can't
  * be played is told and left out: an archive that holds less is no reason to fail a build.
  */
-final class ArchiveTraining {
+public final class ClassArchiveTraining {
     private static final int PATIENCE_MS = 5000;
     private static final int TRIES = 50;
     private static final int LARGE = 90_000;
@@ -64,7 +65,7 @@
     private int seq;
     private int requests;
 
-    private ArchiveTraining(String path, Path file, boolean pushed) throws IOException {
+    private ClassArchiveTraining(String path, Path file, boolean pushed) throws IOException {
         this.file = file;
         this.pushed = pushed;
         this.config = (ObjectNode) mapper.readTree(Path.of(path).toFile());
@@ -89,17 +90,16 @@
     }
 
     /** Plays it all, once for each way that lists come, and ends the process by a drain. */
-    static void run(String path) {
+    public static void run(String path) {
         try {
             Path file = Files.createTempFile("training", ".json");
             for (boolean pushed : new boolean[] {false, true}) {
-                new ArchiveTraining(path, file, pushed).play();
+                new ClassArchiveTraining(path, file, pushed).play();
             }
             Files.delete(file);
         } catch (Exception e) {
             tell(e);
         }
-        System.exit(0);
     }
 
     /** A step, which may fail. */
@@ -109,7 +109,8 @@
 
     private void play() throws Exception {
         configure(discovery.address());
-        Runnable drain = Main.start(file.toString(), false);
+        SidecarProcess process = SidecarProcess.prepare(file.toString());
+        process.serve();
         awaitWatch(discovery);
         list(true);
         for (int i = 0; i < TRIES && !ask("GET /health/ready HTTP/1.1\r\n\r\n").contains(" 200 "); i++) {
@@ -118,7 +119,7 @@
         for (String answer : ANSWERS) {
             step(() -> meet(answer));
         }
-        step(ArchiveTraining::round);
+        step(ClassArchiveTraining::round);
         step(this::refused);
         step(this::leave);
         step(this::lists);
@@ -126,13 +127,13 @@
         step(this::hangups);
         List<Socket> held = hold();
         // Here and not by the end of the process alone: what runs then is noted only in part.
-        drain.run();
-        held.forEach(ArchiveTraining::close);
+        process.shutDown();
+        held.forEach(ClassArchiveTraining::close);
     }
 
     // A number that is rounded by its digits, which few are.
     private static void round() {
-        Decimals.thousandths(0.0005);
+        Decimals.formatThousandths(0.0005);
     }
 
     private static void step(Step step) {
--- a/src/main/java/cobaltrack/sidecar/HangupSignal.java
+++ b/src/main/java/loadbalancer/lifecycle/HangupSignal.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.lifecycle;
 
 import java.lang.reflect.Proxy;
 
--- /dev/null
+++ b/src/main/java/loadbalancer/lifecycle/StartupException.java
@@ -0,0 +1,10 @@
+package loadbalancer.lifecycle;
+
+/** The sidecar could not start, for instance because its address is in use. */
+public final class StartupException extends Exception {
+    private static final long serialVersionUID = 1;
+
+    StartupException(Throwable cause) {
+        super(cause.getMessage(), cause);
+    }
+}
--- a/src/main/java/cobaltrack/sidecar/TrainingServer.java
+++ b/src/main/java/loadbalancer/lifecycle/TrainingServer.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.lifecycle;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
@@ -11,7 +11,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** Stands in for an endpoint or for discovery in {@link ArchiveTraining}: each request gets its one answer. */
+/** Stands in for an endpoint or for discovery in {@link ClassArchiveTraining}: each request gets its one answer. */
 final class TrainingServer {
     /** No answer but a reset. */
     static final String RESET = "reset";
--- a/src/main/java/cobaltrack/sidecar/Warmup.java
+++ b/src/main/java/loadbalancer/lifecycle/Warmup.java
@@ -1,6 +1,5 @@
-package cobaltrack.sidecar;
+package loadbalancer.lifecycle;
 
-import cobaltrack.Contract;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -29,6 +28,20 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.downstream.ClientServer;
+import loadbalancer.eventloop.Clock;
+import loadbalancer.eventloop.EventLoops;
+import loadbalancer.eventloop.LoopActivity;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointStatus;
+import loadbalancer.policy.Idempotency;
+import loadbalancer.policy.PolicySettings;
+import loadbalancer.policy.RequestClass;
+import loadbalancer.protocol.HeaderNames;
+import loadbalancer.protocol.ProtocolLimits;
+import loadbalancer.proxy.RequestDispatcher;
+import loadbalancer.upstream.EndpointPool;
 
 /**
  * Guards against a cold start: on a shared core the first seconds of a JVM that still loads and compiles
@@ -47,13 +60,13 @@
 
     private static final byte[] BODY = new byte[256];
 
-    private final EventLoop loop = Main.eventLoop(new LoopActivity());
+    private final EventLoop loop = EventLoops.newEventLoop(new LoopActivity());
     private final CountDownLatch done = new CountDownLatch(1);
-    private final Contract.Settings settings;
+    private final PolicySettings settings;
     private int left = REQUESTS;
     private volatile int served;
 
-    private Warmup(Contract.Settings settings) {
+    private Warmup(PolicySettings settings) {
         this.settings = settings;
     }
 
@@ -61,7 +74,7 @@
      * Runs requests of these settings' classes until they are through or their time is up; how many were
      * served.
      */
-    static int run(Contract.Settings settings) {
+    static int run(PolicySettings settings) {
         return new Warmup(settings).run();
     }
 
@@ -70,7 +83,7 @@
         int sockets = 8;
         EndpointPool pool =
                 new EndpointPool(loop, NioSocketChannel.class, clock, (int) MAX_WAIT_MS, MAX_WAIT_MS, sockets);
-        Sidecar sidecar = new Sidecar(loop, clock, settings, 0, pool, line -> {});
+        RequestDispatcher sidecar = new RequestDispatcher(loop, clock, settings, 0, pool, line -> {});
         ClientServer server = new ClientServer(loop, clock, sidecar, settings, sockets);
         SocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         ChannelFuture endpoint = new ServerBootstrap()
@@ -87,12 +100,11 @@
         return served;
     }
 
-    private void ask(Sidecar sidecar, SocketAddress endpoint, SocketAddress front) {
+    private void ask(RequestDispatcher sidecar, SocketAddress endpoint, SocketAddress front) {
         EndpointList list = new EndpointList(
                 0,
                 true,
-                List.of(new EndpointList.Entry(
-                        new Contract.Server("warm", Contract.Standing.UP, 1, "", 0, 0), endpoint)));
+                List.of(new EndpointList.Entry(new Endpoint("warm", EndpointStatus.READY, 1, "", 0, 0), endpoint)));
         loop.execute(() -> sidecar.start(() -> {}, list));
         new Bootstrap()
                 .group(loop)
@@ -115,25 +127,25 @@
                 channel.pipeline()
                         .addLast(
                                 serves ? new HttpServerCodec() : new HttpClientCodec(),
-                                new HttpObjectAggregator(ResponseAssembler.MAX_BODY_BYTES),
-                                serves ? new Endpoint() : new Application());
+                                new HttpObjectAggregator(ProtocolLimits.MAX_BODY_BYTES),
+                                serves ? new EndpointHandler() : new ApplicationHandler());
             }
         };
     }
 
-    private static final class Endpoint extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private static final class EndpointHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(BODY));
             response.headers()
                     .set(HttpHeaderNames.CONTENT_LENGTH, BODY.length)
-                    .set(LoadReport.HEADER, "util=0.5,qps=10.5,eps=0");
+                    .set(HeaderNames.SERVER_LOAD, "util=0.5,qps=10.5,eps=0");
             ctx.writeAndFlush(response);
         }
     }
 
-    private final class Application extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class ApplicationHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             ask(ctx);
@@ -152,9 +164,8 @@
                 done.countDown();
                 return;
             }
-            Contract.RequestClass k =
-                    settings.classes().get(left % settings.classes().size());
-            boolean safe = k.effect() == Contract.Effect.SAFE;
+            RequestClass k = settings.classes().get(left % settings.classes().size());
+            boolean safe = k.idempotency() == Idempotency.IDEMPOTENT;
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
                     safe ? HttpMethod.GET : HttpMethod.POST,
@@ -164,7 +175,7 @@
                     .set("Request-Id", "warm" + left)
                     .set("Request-Class", k.name())
                     .set("Idempotency-Key", "warm")
-                    .set(RequestCheck.TIMEOUT, "5.000")
+                    .set(HeaderNames.REQUEST_TIMEOUT, "5.000")
                     .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
             ctx.writeAndFlush(request);
         }
--- /dev/null
+++ b/src/main/java/loadbalancer/policy/BalancingPolicy.java
@@ -0,0 +1,52 @@
+package loadbalancer.policy;
+
+import java.util.List;
+
+/**
+ * The events that a balancing policy is notified of, each with the time at which it happened.
+ *
+ * <p>Times are milliseconds on the embedder's own clock, which may start anywhere and never runs backwards. A policy
+ * reads no clock, starts no thread and does no I/O: it acts only inside an event, through {@link PolicyActions}.
+ */
+public interface BalancingPolicy {
+    /** The sidecar starts, knowing nothing. */
+    void start(double now);
+
+    /** The endpoint list, changes to it, or the loss of the watch on it. */
+    void endpointsChanged(double now, WatchEvent event, List<Endpoint> endpoints);
+
+    /** A client's request arrived; it is owed one final response. */
+    void requestArrived(double now, PolicyRequest request);
+
+    /**
+     * An attempt ended.
+     *
+     * @param attempt its number among the attempts of the request, from 0
+     * @param durationMillis how long it was in flight
+     * @param finished true if the client has had its final response; otherwise it is still owed
+     * @param report the endpoint's load report, or null
+     */
+    void attemptEnded(
+            double now,
+            PolicyRequest request,
+            int attempt,
+            AttemptOutcome outcome,
+            double durationMillis,
+            boolean finished,
+            LoadReport report);
+
+    /** The response to an attempt began to stream to the client, which ends the policy's duty to the request. */
+    void responseStreaming(double now, PolicyRequest request, int attempt);
+
+    /** The client disconnected; nothing more is owed. */
+    void clientDisconnected(double now, PolicyRequest request);
+
+    /** A probe ended; {@code report} is null unless one came. */
+    void probeEnded(double now, String endpoint, AttemptOutcome outcome, double durationMillis, LoadReport report);
+
+    /** Another sidecar sent a message. */
+    void messageReceived(double now, int from, byte[] message);
+
+    /** The time asked for with {@link PolicyActions#scheduleWake} has come. */
+    void wake(double now);
+}
--- a/src/main/java/cobaltrack/Decide.java
+++ b/src/main/java/loadbalancer/policy/LossThrottlingPolicy.java
@@ -1,5 +1,4 @@
-// Every decision of cobaltrack; its interface (settings, events, actions) is Contract.java, beside this file.
-package cobaltrack;
+package loadbalancer.policy;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -15,7 +14,7 @@
  * random subset in random order; the first server whose draw passes gets it, and if none passes it is
  * refused at once. docs/design.md names what is kept of the source and when each exception acts.
  */
-public final class Decide implements Contract.Events {
+public final class LossThrottlingPolicy implements BalancingPolicy {
     // --- the controller --------------------------------------------------------------------------
     // A period, as a share of the shortest aim, and the least: several steps fit in a client's wait.
     private static final double PERIOD_OF_AIM = 0.1;
@@ -143,11 +142,11 @@
     private static final double SECOND = 1000;
     private static final double GRAIN = 0.01;
 
-    private final Contract.Settings settings;
-    private final Contract.Actions out;
+    private final PolicySettings settings;
+    private final PolicyActions out;
     private final SplittableRandom random;
     private final long salt;
-    private final Contract.RequestClass[] classes;
+    private final RequestClass[] classes;
     private final double period;
     // Worth levels, lowest first: the level of each class within and over its tenant's share.
     private final int[] levelWithin;
@@ -201,7 +200,7 @@
 
     // A server as this sidecar knows it.
     private static final class Node {
-        Contract.Server entry;
+        Endpoint entry;
         double percentage;
         double bad;
         double all;
@@ -250,7 +249,7 @@
 
     // A request and its attempts.
     private static final class Call {
-        Contract.Request request;
+        PolicyRequest request;
         int level;
         double aimAt;
         double endAt;
@@ -275,25 +274,25 @@
     }
 
     /** A module for one sidecar. */
-    public Decide(Contract.Settings settings, long seed, Contract.Actions out) {
+    public LossThrottlingPolicy(PolicySettings settings, long seed, PolicyActions out) {
         this.settings = settings;
         this.out = out;
         this.random = new SplittableRandom(seed);
         this.salt = random.nextLong();
-        this.classes = settings.classes().toArray(new Contract.RequestClass[0]);
+        this.classes = settings.classes().toArray(new RequestClass[0]);
         double shortest = Double.MAX_VALUE;
-        for (Contract.RequestClass c : classes) {
-            shortest = Math.min(shortest, c.aim());
+        for (RequestClass c : classes) {
+            shortest = Math.min(shortest, c.latencyObjectiveMillis());
         }
         this.period = Math.max(PERIOD_LEAST, shortest * PERIOD_OF_AIM);
         this.recent = new double[classes.length];
         this.usual = new double[classes.length];
         for (int i = 0; i < classes.length; i++) {
-            recent[i] = classes[i].aim() * FIRST_USUAL;
+            recent[i] = classes[i].latencyObjectiveMillis() * FIRST_USUAL;
             usual[i] = recent[i];
         }
         this.shortestAim = shortest;
-        this.probesPerRequest = settings.limits().probes() && settings.reporting() == Contract.Reporting.WITH_PROBES
+        this.probesPerRequest = settings.limits().probes() && settings.reporting() == LoadReporting.WITH_PROBES
                 ? Math.min(
                         PROBES_MOST,
                         PROBE_SPEND / Math.max(1e-9, settings.limits().probeCost()))
@@ -310,8 +309,8 @@
         int n = classes.length;
         double[] worths = new double[2 * n];
         for (int i = 0; i < n; i++) {
-            worths[i] = classes[i].worth();
-            worths[n + i] = classes[i].worth() * settings.overShareWorth();
+            worths[i] = classes[i].priorityWeight();
+            worths[n + i] = classes[i].priorityWeight() * settings.overQuotaWeight();
         }
         double[] levels = Arrays.stream(worths).sorted().distinct().toArray();
         for (int i = 0; i < n; i++) {
@@ -325,7 +324,7 @@
     public void start(double now) {
         startedAt = now;
         lastWake = now;
-        if (settings.listMustBeAsked()) {
+        if (settings.endpointListPolled()) {
             askLater(now, askSpread());
         }
         nextPeriod(now, period * (0.5 + random.nextDouble()));
@@ -334,29 +333,29 @@
     // --- following the list ----------------------------------------------------------------------
 
     @Override
-    public void servers(double now, Contract.ListKind kind, List<Contract.Server> entries) {
-        if (kind == Contract.ListKind.SILENT || kind == Contract.ListKind.MOVED) {
+    public void endpointsChanged(double now, WatchEvent kind, List<Endpoint> entries) {
+        if (kind == WatchEvent.IDLE_TIMEOUT || kind == WatchEvent.MOVED) {
             // No sign of a service in trouble: what it has to tell soon counts as told. The silence has been
             // noticed spread over time; a move comes to all at once.
             askWait = ASK_FIRST;
-            askLater(now, kind == Contract.ListKind.SILENT ? 0 : Math.min(MOVE_SPREAD_MOST, askSpread()));
+            askLater(now, kind == WatchEvent.IDLE_TIMEOUT ? 0 : Math.min(MOVE_SPREAD_MOST, askSpread()));
             return;
         }
-        if (kind == Contract.ListKind.FAILED) {
+        if (kind == WatchEvent.FAILED) {
             // A list service that starts or comes back must not be met by every sidecar at once: it would
             // turn most away, and they would keep it so. Spread by their number, and doubled waits, all of it
             // drawn anew within what is left of the cycle.
             double longest = askWait * 1.5 + askSpread();
-            double cycle = Math.min(ASK_CYCLE_MOST, settings.obligations().askWithin());
+            double cycle = Math.min(ASK_CYCLE_MOST, settings.rules().pollDeadlineMillis());
             double scale = Math.min(1, Math.max(ASK_FIRST, cycle - Math.max(0, now - askedAt)) / longest);
             askLater(now + scale * askWait * (0.5 + random.nextDouble()), scale * askSpread());
             if (askWait == ASK_FIRST) {
                 out.log("endpoint list unavailable, using the last known list");
             }
-            askWait = Math.min(Math.min(ASK_LONGEST, settings.obligations().askWithin()), askWait * 2);
+            askWait = Math.min(Math.min(ASK_LONGEST, settings.rules().pollDeadlineMillis()), askWait * 2);
             return;
         }
-        if (kind != Contract.ListKind.STALE && asked) {
+        if (kind != WatchEvent.STALE_SNAPSHOT && asked) {
             if (askWait > ASK_FIRST) {
                 out.log("endpoint list available again");
             }
@@ -364,13 +363,13 @@
             askWait = ASK_FIRST;
             askedAt = Double.POSITIVE_INFINITY;
         }
-        if (kind != Contract.ListKind.CHANGES) {
+        if (kind != WatchEvent.DELTA) {
             for (Node n : nodes.values()) {
                 n.usable = false;
                 n.listed = false;
             }
         }
-        for (Contract.Server e : entries) {
+        for (Endpoint e : entries) {
             learn(now, e);
         }
         // What is off the list goes at once or with its last attempt: nothing piles up over rolling deploys.
@@ -380,22 +379,22 @@
 
     private void askLater(double from, double spread) {
         askAt = from + spread * random.nextDouble();
-        out.wake(askAt);
+        out.scheduleWake(askAt);
     }
 
     private double askSpread() {
-        return Math.min(settings.obligations().askWithin() * ASK_SPREAD_MOST, settings.sidecars() * ASK_EACH);
+        return Math.min(settings.rules().pollDeadlineMillis() * ASK_SPREAD_MOST, settings.sidecarCount() * ASK_EACH);
     }
 
-    private void learn(double now, Contract.Server e) {
+    private void learn(double now, Endpoint e) {
         Node n = nodes.get(e.id());
         if (n == null) {
             n = new Node();
             n.rank = mixBits(salt ^ hash(e.id()));
             n.tokensAt = now;
-            n.startedAt = e.startedAt();
+            n.startedAt = e.startedAtMillis();
             nodes.put(e.id(), n);
-        } else if (e.startedAt() > n.startedAt) {
+        } else if (e.startedAtMillis() > n.startedAt) {
             // A restarted process owes nothing to the past of the one before; the cold ramp guards it.
             n.percentage = 0;
             n.bad = 0;
@@ -406,11 +405,11 @@
             n.capacity = 0;
             n.tokens = 0;
             n.tokensAt = now;
-            n.startedAt = e.startedAt();
+            n.startedAt = e.startedAtMillis();
         }
         n.entry = e;
-        n.usable = e.standing() == Contract.Standing.UP;
-        n.listed = e.standing() != Contract.Standing.GONE;
+        n.usable = e.status() == EndpointStatus.READY;
+        n.listed = e.status() != EndpointStatus.REMOVED;
     }
 
     private void pickSubset(double now) {
@@ -451,18 +450,18 @@
         double size = 0;
         double capacity = 0;
         for (Node n : ranked) {
-            size = Math.max(size, n.entry.size());
+            size = Math.max(size, n.entry.capacityWeight());
             capacity = Math.max(capacity, n.capacity);
         }
         for (Node n : ranked) {
-            n.weight = n.capacity > 0 ? n.capacity / capacity : size > 0 ? n.entry.size() / size : 1;
+            n.weight = n.capacity > 0 ? n.capacity / capacity : size > 0 ? n.entry.capacityWeight() / size : 1;
         }
     }
 
     // As many as the traffic holds attempts when well. What is out counts only while there is room for its
     // connections: in a large fleet a jam would widen every subset, and the wider subsets keep the jam.
     private int subsetWanted() {
-        double room = usable.length * CONNECTIONS / Math.max(1, settings.sidecars());
+        double room = usable.length * CONNECTIONS / Math.max(1, settings.sidecarCount());
         double free = Math.min(room, Math.max(SUBSET_FREE, FREE_PER_HELD * held));
         return (int) Math.ceil(Math.max(width, Math.max(SUBSET_LEAST, free)));
     }
@@ -484,33 +483,33 @@
     // --- requests --------------------------------------------------------------------------------
 
     @Override
-    public void request(double now, Contract.Request request) {
-        if (request.state != null) {
+    public void requestArrived(double now, PolicyRequest request) {
+        if (request.state() != null) {
             return;
         }
         Call c = new Call();
         c.request = request;
-        request.state = c;
+        request.state(c);
         c.level = levelOf(request);
         mix[c.level]++;
-        c.aimAt = now + classes[request.classIndex].aim();
-        c.endAt = now + request.timeLeft;
+        c.aimAt = now + classes[request.classIndex()].latencyObjectiveMillis();
+        c.endAt = now + request.timeoutMillis();
         retryTokens = Math.min(RETRY_SAVE, retryTokens + RETRY_EARN);
         probeEarned += probesPerRequest;
         place(now, c);
     }
 
     // Traffic of a tenant beyond its share counts at the lower worth; the excess is chosen by chance.
-    private int levelOf(Contract.Request r) {
-        int k = r.classIndex;
-        int t = r.tenantIndex;
+    private int levelOf(PolicyRequest r) {
+        int k = r.classIndex();
+        int t = r.tenantIndex();
         if (t < 0) {
             return levelWithin[k];
         }
         seen++;
         tenantSeen[t]++;
         double fraction = tenantSeen[t] / seen;
-        double share = settings.tenants().get(t).share();
+        double share = settings.tenants().get(t).quotaShare();
         boolean over = fraction > share && random.nextDouble() * fraction > share;
         return over ? levelOver[k] : levelWithin[k];
     }
@@ -563,13 +562,15 @@
     // The draws against a server: its percentage, and what it fails of this class.
     private boolean passes(double now, Call c, Node n) {
         return random.nextDouble() >= dropShare(c.level, percentageNow(now, n))
-                && (n.failing == null || random.nextDouble() >= n.failing[c.request.classIndex]);
+                && (n.failing == null || random.nextDouble() >= n.failing[c.request.classIndex()]);
     }
 
     // A keyed request that may have run, whose repeat only some servers discard.
     private boolean grouped(Call c) {
-        Contract.RequestClass k = classes[c.request.classIndex];
-        return c.mayHaveRun != null && k.effect() == Contract.Effect.KEYED && k.group() != Contract.Group.ALL;
+        RequestClass k = classes[c.request.classIndex()];
+        return c.mayHaveRun != null
+                && k.idempotency() == Idempotency.WITH_KEY
+                && k.deduplicationScope() != DeduplicationScope.ALL;
     }
 
     // Not where it has been, and for a keyed request that may have run only within its group and window.
@@ -583,17 +584,12 @@
                 return false;
             }
         }
-        Contract.RequestClass k = classes[c.request.classIndex];
-        if (c.mayHaveRun == null || k.effect() != Contract.Effect.KEYED) {
+        if (c.mayHaveRun == null) {
             return true;
         }
-        Contract.Server a = c.mayHaveRun.node.entry;
-        return now < c.mayHaveRun.sentAt + k.window()
-                && switch (k.group()) {
-                    case ALL -> true;
-                    case ZONE -> a.zone().equals(n.entry.zone());
-                    case CELL -> a.cell() == n.entry.cell();
-                };
+        RequestClass k = classes[c.request.classIndex()];
+        return RetryRules.mayRepeat(k, c.mayHaveRun.sentAt, now)
+                && RetryRules.shareDeduplication(k, c.mayHaveRun.node.entry, n.entry);
     }
 
     private double percentageNow(double now, Node n) {
@@ -631,12 +627,13 @@
 
     // The fraction of its capacity that a server has at least, for its age.
     private double warmth(double now, Node n) {
-        Contract.Obligations o = settings.obligations();
+        OperatorRules o = settings.rules();
         double age = now - n.startedAt;
-        if (n.startedAt == 0 || age >= o.coldTime()) {
+        if (n.startedAt == 0 || age >= o.slowStartMillis()) {
             return 1;
         }
-        return o.coldShare() + (1 - o.coldShare()) * Math.max(0, age) / o.coldTime();
+        return o.slowStartInitialFraction()
+                + (1 - o.slowStartInitialFraction()) * Math.max(0, age) / o.slowStartMillis();
     }
 
     // A cold server's token bucket. First choices are spread over the fleet by chance. What others turn away
@@ -646,11 +643,11 @@
         if (w >= 1) {
             return true;
         }
-        double fall = settings.obligations().fallMultiple() * w * warmRate;
+        double fall = settings.rules().overloadMultiple() * w * warmRate;
         double rate = Math.min(COLD_RATE * w * warmRate, COLD_OF_FALL * fall);
         n.tokens = Math.min(COLD_SAVE, n.tokens + rate * (now - n.tokensAt));
         n.tokensAt = now;
-        double part = COLD_OF_FALL * fall * settings.obligations().fallTime() * subset.length / of;
+        double part = COLD_OF_FALL * fall * settings.rules().overloadWindowMillis() * subset.length / of;
         boolean passes = n.tokens >= 1 && (first || random.nextDouble() < part);
         n.tokens -= passes ? 1 : 0;
         return passes;
@@ -709,22 +706,17 @@
         n.holds++;
         n.since++;
         n.sends++;
-        Contract.RequestClass k = classes[c.request.classIndex];
-        boolean stopAtAim = k.lateWorth() <= 0 && !clientWouldRepeat(k);
+        RequestClass k = classes[c.request.classIndex()];
+        boolean stopAtAim = k.lateWeight() <= 0 && !RetryRules.clientMayRetry(k);
         double within = stopAtAim && c.aimAt < c.endAt ? Math.max(1, c.aimAt - now) : 0;
-        out.send(c.request, n.entry.id(), within);
-    }
-
-    private static boolean clientWouldRepeat(Contract.RequestClass k) {
-        return k.effect() == Contract.Effect.SAFE
-                || k.effect() == Contract.Effect.KEYED && k.group() == Contract.Group.ALL;
+        out.forward(c.request, n.entry.id(), within);
     }
 
     // Final answer without a further attempt: a refusal where it is true that a retry does no harm.
     private void end(double now, Call c) {
         c.ended = true;
-        if (now < c.endAt && (c.mayHaveRun == null || clientWouldRepeat(classes[c.request.classIndex]))) {
-            out.refuse(c.request, retryAfter(c));
+        if (now < c.endAt && (c.mayHaveRun == null || RetryRules.clientMayRetry(classes[c.request.classIndex()]))) {
+            out.reject(c.request, retryAfter(c));
         } else {
             out.fail(c.request);
         }
@@ -736,38 +728,38 @@
             sum += n.percentage;
         }
         double mean = subset.length == 0 ? 1 : sum / subset.length;
-        double aim = classes[c.request.classIndex].aim();
+        double aim = classes[c.request.classIndex()].latencyObjectiveMillis();
         return Math.min(
-                settings.limits().maxRetryAfter(),
+                settings.limits().maxRetryAfterMillis(),
                 aim * (AFTER_LEAST + AFTER_FULL * mean) * (0.75 + 0.5 * random.nextDouble()));
     }
 
     // --- outcomes --------------------------------------------------------------------------------
 
     @Override
-    public void outcome(
+    public void attemptEnded(
             double now,
-            Contract.Request request,
+            PolicyRequest request,
             int attempt,
-            Contract.Outcome outcome,
+            AttemptOutcome outcome,
             double took,
             boolean finished,
-            Contract.Report report) {
-        Call c = (Call) request.state;
+            LoadReport report) {
+        Call c = (Call) request.state();
         if (c == null || attempt < 0 || attempt >= c.count || !c.attempts[attempt].out) {
             return;
         }
         Attempt a = c.attempts[attempt];
-        if (outcome == Contract.Outcome.SERVED) {
-            overtake(now, a, Math.max(took, usual[request.classIndex]) / OVERTAKEN_PART);
+        if (outcome == AttemptOutcome.SUCCESS) {
+            overtake(now, a, Math.max(took, usual[request.classIndex()]) / OVERTAKEN_PART);
         }
         retire(a);
-        if (!outcome.neverRan && c.mayHaveRun == null) {
+        if (!outcome.provesNotExecuted() && c.mayHaveRun == null) {
             c.mayHaveRun = a;
         }
         double strain = read(a.node, report);
-        grade(a.node, outcome, took, request.classIndex, strain);
-        if (finished || outcome == Contract.Outcome.SERVED) {
+        grade(a.node, outcome, took, request.classIndex(), strain);
+        if (finished || outcome == AttemptOutcome.SUCCESS) {
             c.ended = true;
         }
         if (c.ended) {
@@ -818,9 +810,9 @@
         }
     }
 
-    private void grade(Node n, Contract.Outcome outcome, double took, int k, double strain) {
+    private void grade(Node n, AttemptOutcome outcome, double took, int k, double strain) {
         switch (outcome) {
-            case SERVED -> {
+            case SUCCESS -> {
                 n.atWork();
                 fail(n, k, 0);
                 double late = lateness(took, k);
@@ -834,7 +826,7 @@
                 poolTook += Math.max(took, usual[k]);
                 recent[k] += (took - recent[k]) * RECENT;
             }
-            case FULL -> {
+            case REJECTED -> {
                 n.atWork();
                 note(n, 1, 1);
             }
@@ -875,18 +867,18 @@
     // attempts: the load of all the others. It counts less the more of the server's traffic is our own.
     // Requests a second by busy share are the server's size, so that slow, cold and shared machines come
     // later in the walk.
-    private double read(Node n, Contract.Report r) {
+    private double read(Node n, LoadReport r) {
         if (r == null
-                || !(r.util() >= 0 && r.util() <= UTIL_MOST && r.perSecond() > 0)
-                || r.perSecond() == Double.POSITIVE_INFINITY) {
+                || !(r.utilization() >= 0 && r.utilization() <= UTIL_MOST && r.requestsPerSecond() > 0)
+                || r.requestsPerSecond() == Double.POSITIVE_INFINITY) {
             return 0;
         }
-        n.util += (r.util() - n.util) * SIZE_WEIGHT;
-        if (r.util() >= UTIL_LEAST) {
-            n.capacity += (r.perSecond() / r.util() - n.capacity) * (n.capacity > 0 ? SIZE_WEIGHT : 1);
+        n.util += (r.utilization() - n.util) * SIZE_WEIGHT;
+        if (r.utilization() >= UTIL_LEAST) {
+            n.capacity += (r.requestsPerSecond() / r.utilization() - n.capacity) * (n.capacity > 0 ? SIZE_WEIGHT : 1);
         }
-        double over = Math.min(1, Math.max(0, (r.util() - UTIL_WANTED) / (1 - UTIL_WANTED)));
-        double ours = n.sendRate * SECOND / r.perSecond();
+        double over = Math.min(1, Math.max(0, (r.utilization() - UTIL_WANTED) / (1 - UTIL_WANTED)));
+        double ours = n.sendRate * SECOND / r.requestsPerSecond();
         return over * Math.max(0, 1 - SEEN_ENOUGH * ours);
     }
 
@@ -895,42 +887,42 @@
         return Math.max(0, Math.min(1, (took - from) / (from * (LATE_FULL - 1))));
     }
 
-    private boolean mayRetry(double now, Call c, Contract.Outcome last) {
-        Contract.RequestClass k = classes[c.request.classIndex];
-        if (last == Contract.Outcome.NEVER_SENT
+    private boolean mayRetry(double now, Call c, AttemptOutcome last) {
+        RequestClass k = classes[c.request.classIndex()];
+        if (last == AttemptOutcome.NOT_SENT
                 || retryTokens < 1
-                || c.count >= settings.limits().attempts()) {
+                || c.count >= settings.limits().maxAttempts()) {
             return false;
         }
-        boolean useful = now < (k.lateWorth() > 0 ? c.endAt : Math.min(c.aimAt, c.endAt));
-        return useful && (c.mayHaveRun == null || k.effect() != Contract.Effect.UNSAFE);
+        boolean useful = now < (k.lateWeight() > 0 ? c.endAt : Math.min(c.aimAt, c.endAt));
+        return useful && (c.mayHaveRun == null || k.idempotency() != Idempotency.NOT_IDEMPOTENT);
     }
 
     @Override
-    public void streaming(double now, Contract.Request request, int attempt) {
-        Call c = (Call) request.state;
+    public void responseStreaming(double now, PolicyRequest request, int attempt) {
+        Call c = (Call) request.state();
         if (c != null) {
             c.ended = true;
         }
     }
 
     @Override
-    public void abandoned(double now, Contract.Request request) {
-        Call c = (Call) request.state;
+    public void clientDisconnected(double now, PolicyRequest request) {
+        Call c = (Call) request.state();
         if (c != null && !c.ended) {
             c.ended = true;
             // Only the last attempt of a request can be out.
-            if (c.count > 0 && c.attempts[c.count - 1].out && settings.limits().cancel()) {
-                out.cancel(request, c.count - 1);
+            if (c.count > 0 && c.attempts[c.count - 1].out && settings.limits().cancellation()) {
+                out.cancelAttempt(request, c.count - 1);
             }
         }
     }
 
     @Override
-    public void probed(double now, String server, Contract.Outcome outcome, double took, Contract.Report report) {
+    public void probeEnded(double now, String server, AttemptOutcome outcome, double took, LoadReport report) {
         Node n = nodes.get(server);
-        if (n != null && report != null && report.inflight() >= 0 && report.inflight() < Double.POSITIVE_INFINITY) {
-            n.reported = report.inflight();
+        if (n != null && report != null && report.inFlight() >= 0 && report.inFlight() < Double.POSITIVE_INFINITY) {
+            n.reported = report.inFlight();
             n.reportedAt = now;
             n.since = 0;
         }
@@ -954,7 +946,7 @@
     }
 
     @Override
-    public void message(double now, int from, byte[] text) {}
+    public void messageReceived(double now, int from, byte[] text) {}
 
     // --- the period ------------------------------------------------------------------------------
 
@@ -964,7 +956,7 @@
             askAt = Double.NaN;
             asked = true;
             askedAt = now;
-            out.watchServers();
+            out.watchEndpoints();
         }
         if (now >= periodAt) {
             step(now);
@@ -974,7 +966,7 @@
     private void nextPeriod(double now, double in) {
         periodAt = now + in;
         // Asked for a little later, by less than any clock's grain, so that it is never found too early.
-        out.wake(periodAt + GRAIN);
+        out.scheduleWake(periodAt + GRAIN);
     }
 
     private void step(double now) {
@@ -998,7 +990,7 @@
             holds += n.holds - n.stuck;
             control(now, n);
         }
-        double share = usable.length / (Math.max(1.0, ranked.length) * Math.max(1, settings.sidecars()));
+        double share = usable.length / (Math.max(1.0, ranked.length) * Math.max(1, settings.sidecarCount()));
         // No answer can have come in the first moments: a start under load must not refuse it all.
         allWell = now < startedAt + shortestAim
                 ? Double.MAX_VALUE
@@ -1046,7 +1038,7 @@
         int count = 0;
         int looked = 0;
         for (Attempt a = n.oldest; a != null && looked < LOOK; a = a.newer, looked++) {
-            double late = lateness(now - a.sentAt, a.call.request.classIndex);
+            double late = lateness(now - a.sentAt, a.call.request.classIndex());
             if (late > 0 && !a.passed) {
                 lateOut += late;
                 count++;
--- /dev/null
+++ b/src/main/java/loadbalancer/policy/RetryRules.java
@@ -0,0 +1,44 @@
+package loadbalancer.policy;
+
+/**
+ * What the idempotency of a request's class allows once an attempt may have been executed.
+ *
+ * <p>Both the policy and the guard in front of the first byte of each attempt ask here.
+ */
+public final class RetryRules {
+    private RetryRules() {}
+
+    /** True if a client that is told to ask again does no harm, wherever its next request goes. */
+    public static boolean clientMayRetry(RequestClass requestClass) {
+        return switch (requestClass.idempotency()) {
+            case IDEMPOTENT -> true;
+            case WITH_KEY -> requestClass.deduplicationScope() == DeduplicationScope.ALL;
+            case NOT_IDEMPOTENT -> false;
+        };
+    }
+
+    /**
+     * True if a request may be sent again now, though an attempt that was sent at that time may have been executed.
+     *
+     * @param attemptSentAt milliseconds on the clock of {@code now}
+     */
+    public static boolean mayRepeat(RequestClass requestClass, double attemptSentAt, double now) {
+        return switch (requestClass.idempotency()) {
+            case IDEMPOTENT -> true;
+            case WITH_KEY -> now < attemptSentAt + requestClass.deduplicationWindowMillis();
+            case NOT_IDEMPOTENT -> false;
+        };
+    }
+
+    /** True if the second endpoint discards a repeat of what the first one may have executed, or it does no harm. */
+    public static boolean shareDeduplication(RequestClass requestClass, Endpoint first, Endpoint second) {
+        if (requestClass.idempotency() != Idempotency.WITH_KEY) {
+            return requestClass.idempotency() == Idempotency.IDEMPOTENT;
+        }
+        return switch (requestClass.deduplicationScope()) {
+            case ALL -> true;
+            case ZONE -> first.zone().equals(second.zone());
+            case CELL -> first.cell() == second.cell();
+        };
+    }
+}
--- a/src/main/java/cobaltrack/sidecar/Decimals.java
+++ b/src/main/java/loadbalancer/protocol/Decimals.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.protocol;
 
 import java.math.BigDecimal;
 import java.math.RoundingMode;
@@ -9,7 +9,7 @@
  * Numbers as peers write and read them: plain decimals only, for Java alone would also take {@code 1d} or
  * {@code 0x1p3}.
  */
-final class Decimals {
+public final class Decimals {
     private static final Pattern PLAIN = Pattern.compile("[0-9]{1,12}(\\.[0-9]{1,12})?");
 
     private static final int PLACES = 3;
@@ -22,7 +22,7 @@
     private Decimals() {}
 
     /** The number, or NaN if it is malformed or over {@code max}. */
-    static double parse(String text, double max) {
+    public static double parse(String text, double max) {
         if (!PLAIN.matcher(text).matches()) {
             return Double.NaN;
         }
@@ -34,7 +34,7 @@
      * What {@code String.format(Locale.ROOT, "%.3f", value)} makes of it. A formatter takes some 3
      * microseconds, for a header that each attempt has.
      */
-    static String thousandths(double value) {
+    public static String formatThousandths(double value) {
         if (Double.compare(value, 0) < 0 || !(value < MAX_PLAIN)) {
             return String.format(Locale.ROOT, "%.3f", value);
         }
--- /dev/null
+++ b/src/main/java/loadbalancer/proxy/ClientRequest.java
@@ -0,0 +1,24 @@
+package loadbalancer.proxy;
+
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpMethod;
+
+/**
+ * The validated head of a client's request.
+ *
+ * @param id its identifier, which no other request in flight has
+ * @param classIndex position of its class in the settings
+ * @param tenantIndex position of its tenant in the settings, or -1
+ * @param timeoutMillis how long the client waits
+ * @param clientRetry true if the client says that it asks again
+ * @param headers what an endpoint is sent, except for the timeout and the length of the body
+ */
+public record ClientRequest(
+        String id,
+        int classIndex,
+        int tenantIndex,
+        double timeoutMillis,
+        boolean clientRetry,
+        HttpMethod method,
+        String uri,
+        HttpHeaders headers) {}
--- a/src/main/java/cobaltrack/sidecar/Sidecar.java
+++ b/src/main/java/loadbalancer/proxy/RequestDispatcher.java
@@ -1,7 +1,5 @@
-package cobaltrack.sidecar;
+package loadbalancer.proxy;
 
-import cobaltrack.Contract;
-import cobaltrack.Decide;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -21,21 +19,33 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import loadbalancer.discovery.DiscoveryClient;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.discovery.StartTimes;
+import loadbalancer.eventloop.Clock;
+import loadbalancer.eventloop.LoopLateness;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.BalancingPolicy;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.LoadReport;
+import loadbalancer.policy.LossThrottlingPolicy;
+import loadbalancer.policy.PolicyActions;
+import loadbalancer.policy.PolicyRequest;
+import loadbalancer.policy.PolicySettings;
+import loadbalancer.policy.RequestClass;
+import loadbalancer.policy.RetryRules;
+import loadbalancer.policy.WatchEvent;
+import loadbalancer.protocol.Decimals;
+import loadbalancer.protocol.HeaderNames;
+import loadbalancer.upstream.EndpointAttempt;
+import loadbalancer.upstream.EndpointPool;
+import loadbalancer.upstream.UpstreamResponse;
 
 /**
  * Drives the module and carries out what it decides. It owns the requests taken, their attempts and timers,
  * and sees to it that each request ends exactly once and nothing is sent for it afterwards.
  */
-final class Sidecar implements Contract.Actions, Discovery.Listener {
-    /** Where the one final answer to a request goes. */
-    interface Client {
-        void served(EndpointAttempt.Answer answer);
-
-        void refused(double retryAfter);
-
-        void failed();
-    }
-
+public final class RequestDispatcher implements PolicyActions, DiscoveryClient.Listener {
     /** Of the margin, how long after its deadline a request is failed that the module has not ended by then. */
     private static final double MODULE_GRACE = 0.2;
     /** How often the wall clock is looked at; a server started between two opposite steps this close is misjudged. */
@@ -46,28 +56,23 @@
 
     private final EventLoop loop;
     private final Clock clock;
-    private final Contract.Settings settings;
+    private final PolicySettings settings;
     private final EndpointPool pool;
     private final Consumer<String> log;
-    private final Contract.Events module;
+    private final BalancingPolicy module;
     private final LoopLateness lateness;
     private final StartTimes startTimes;
     private final Map<Long, PendingRequest> open = new HashMap<>();
     private final Set<String> ids = new HashSet<>();
     private final ArrayDeque<Runnable> events = new ArrayDeque<>();
     private Runnable watch;
-    private Runnable whenListed = () -> {};
+    private Runnable onFirstList = () -> {};
     private boolean telling;
     private long nextId;
 
     /** A sidecar that has taken nothing. */
-    Sidecar(
-            EventLoop loop,
-            Clock clock,
-            Contract.Settings settings,
-            long seed,
-            EndpointPool pool,
-            Consumer<String> log) {
+    public RequestDispatcher(
+            EventLoop loop, Clock clock, PolicySettings settings, long seed, EndpointPool pool, Consumer<String> log) {
         this.loop = loop;
         this.clock = clock;
         this.settings = settings;
@@ -75,42 +80,42 @@
         this.log = log;
         this.lateness = new LoopLateness(clock);
         this.startTimes = new StartTimes(clock, log);
-        this.module = new Decide(settings, seed, this);
+        this.module = new LossThrottlingPolicy(settings, seed, this);
         loop.scheduleAtFixedRate(startTimes::observeWallClock, OBSERVE_MS, OBSERVE_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Starts the module, with the list as last known if there is one, and with what begins a watch on it. */
-    void start(Runnable watchList, EndpointList known) {
+    public void start(Runnable watchList, EndpointList known) {
         watch = watchList;
         tell(() -> module.start(clock.now()));
         if (known != null) {
-            list(Contract.ListKind.STALE, known);
+            endpointsReceived(WatchEvent.STALE_SNAPSHOT, known);
         }
-        if (!settings.listMustBeAsked()) {
+        if (!settings.endpointListPolled()) {
             // A pushed list comes from an agent on this machine, which the module does not ask.
             watch.run();
         }
     }
 
     /** Has this run once discovery's first list has come. */
-    void whenListed(Runnable task) {
-        whenListed = task;
+    public void onFirstList(Runnable task) {
+        onFirstList = task;
     }
 
     @Override
-    public void list(Contract.ListKind kind, EndpointList list) {
+    public void endpointsReceived(WatchEvent kind, EndpointList list) {
         pool.update(list);
-        List<Contract.Server> servers = startTimes.convert(list);
-        tell(() -> module.servers(clock.now(), kind, servers));
-        if (kind != Contract.ListKind.STALE) {
-            whenListed.run();
-            whenListed = () -> {};
+        List<Endpoint> servers = startTimes.convert(list);
+        tell(() -> module.endpointsChanged(clock.now(), kind, servers));
+        if (kind != WatchEvent.STALE_SNAPSHOT) {
+            onFirstList.run();
+            onFirstList = () -> {};
         }
     }
 
     @Override
-    public void noWatch(Contract.ListKind why) {
-        tell(() -> module.servers(clock.now(), why, List.of()));
+    public void watchFailed(WatchEvent why) {
+        tell(() -> module.endpointsChanged(clock.now(), why, List.of()));
     }
 
     /** How late the loop that runs all this lately was. */
@@ -119,24 +124,24 @@
     }
 
     /** True if a request of this id is not over, or has an attempt out that may run. */
-    boolean holds(String id) {
+    public boolean isInFlight(String id) {
         return ids.contains(id);
     }
 
     /** Takes a request, whose id is not held; the client is told its end exactly once. */
-    PendingRequest take(RequestCheck.Checked incoming, byte[] body, Client client) {
-        double margin = lateness.margin(incoming.timeout());
-        double left = incoming.timeout() - margin;
-        Contract.Request request =
-                new Contract.Request(nextId++, incoming.classIndex(), incoming.tenantIndex(), left, incoming.repeat());
+    public PendingRequest admit(ClientRequest incoming, byte[] body, ResponseListener client) {
+        double margin = lateness.safetyMargin(incoming.timeoutMillis());
+        double left = incoming.timeoutMillis() - margin;
+        PolicyRequest request = new PolicyRequest(
+                nextId++, incoming.classIndex(), incoming.tenantIndex(), left, incoming.clientRetry());
         PendingRequest pending = new PendingRequest(request, incoming, body, client);
-        open.put(pending.request.id, pending);
+        open.put(pending.request.id(), pending);
         ids.add(incoming.id());
         tell(() -> {
             double now = clock.now();
             pending.endAt = now + left;
             pending.deadline = after(left + margin * MODULE_GRACE, pending::endUnserved);
-            module.request(now, pending.request);
+            module.requestArrived(now, pending.request);
         });
         return pending;
     }
@@ -144,14 +149,14 @@
     /**
      * Fails whatever is still held: the process is about to be killed, and no answer at all would lose it.
      */
-    void failAll() {
+    public void failPending() {
         for (PendingRequest pending : List.copyOf(open.values())) {
             pending.endUnserved();
         }
     }
 
     /** Requests taken that are not over, or that have attempts out. */
-    int held() {
+    public int pendingCount() {
         return open.size();
     }
 
@@ -178,7 +183,7 @@
         } catch (RuntimeException | StackOverflowError fault) {
             // The JVM leaves the trace out of a fault that it has seen often.
             StackTraceElement[] trace = fault.getStackTrace();
-            log.accept("decision failed: " + fault + (trace.length > 0 ? " at " + trace[0] : ""));
+            log.accept("policy event failed: " + fault + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
@@ -187,7 +192,7 @@
         double due = clock.now() + Math.max(0, millis);
         return loop.schedule(
                 () -> {
-                    lateness.ran(due);
+                    lateness.recordRun(due);
                     task.run();
                 },
                 nanos,
@@ -195,28 +200,28 @@
     }
 
     @Override
-    public void send(Contract.Request r, String server, double within) {
-        PendingRequest pending = open.get(r.id);
+    public void forward(PolicyRequest r, String server, double within) {
+        PendingRequest pending = open.get(r.id());
         if (pending != null) {
             pending.send(server, within);
         }
     }
 
     @Override
-    public void cancel(Contract.Request r, int attempt) {
-        PendingRequest pending = open.get(r.id);
+    public void cancelAttempt(PolicyRequest r, int attempt) {
+        PendingRequest pending = open.get(r.id());
         if (pending != null && attempt >= 0 && attempt < pending.attempts.size()) {
-            pending.attempts.get(attempt).giveUp(Contract.Outcome.CANCELLED);
+            pending.attempts.get(attempt).abort(AttemptOutcome.CANCELLED);
         }
     }
 
     @Override
-    public void refuse(Contract.Request r, double retryAfter) {
-        PendingRequest pending = open.get(r.id);
+    public void reject(PolicyRequest r, double retryAfter) {
+        PendingRequest pending = open.get(r.id());
         if (pending != null && !pending.over) {
             pending.over();
             if (pending.mayRefuse()) {
-                pending.client.refused(settings.limits().retryAfter() ? retryAfter : 0);
+                pending.client.rejected(settings.limits().retryAfter() ? retryAfter : 0);
             } else {
                 pending.client.failed();
             }
@@ -224,8 +229,8 @@
     }
 
     @Override
-    public void fail(Contract.Request r) {
-        PendingRequest pending = open.get(r.id);
+    public void fail(PolicyRequest r) {
+        PendingRequest pending = open.get(r.id());
         if (pending != null && !pending.over) {
             pending.over();
             pending.client.failed();
@@ -234,21 +239,21 @@
 
     @Override
     public void probe(String server) {
-        tell(() -> module.probed(clock.now(), server, Contract.Outcome.NEVER_SENT, 0, null));
+        tell(() -> module.probeEnded(clock.now(), server, AttemptOutcome.NOT_SENT, 0, null));
     }
 
     @Override
-    public void watchServers() {
+    public void watchEndpoints() {
         watch.run();
     }
 
     @Override
-    public void tellPeers(byte[] text) {
+    public void broadcast(byte[] text) {
         // The design shares nothing between sidecars; the module sends no such message.
     }
 
     @Override
-    public void wake(double at) {
+    public void scheduleWake(double at) {
         after(at - clock.now(), () -> tell(() -> module.wake(clock.now())));
     }
 
@@ -258,17 +263,17 @@
     }
 
     /** A request taken. It is kept until it is over and all its attempts have ended. */
-    final class PendingRequest {
-        private final Contract.Request request;
-        private final RequestCheck.Checked incoming;
+    public final class PendingRequest {
+        private final PolicyRequest request;
+        private final ClientRequest incoming;
         private final byte[] body;
-        private final Client client;
+        private final ResponseListener client;
         private final List<Attempt> attempts = new ArrayList<>(1);
         private double endAt;
         private boolean over;
         private Future<?> deadline;
 
-        private PendingRequest(Contract.Request request, RequestCheck.Checked incoming, byte[] body, Client client) {
+        private PendingRequest(PolicyRequest request, ClientRequest incoming, byte[] body, ResponseListener client) {
             this.request = request;
             this.incoming = incoming;
             this.body = body;
@@ -276,10 +281,10 @@
         }
 
         /** The client went away: nothing is owed any more. */
-        void abandon() {
+        public void clientDisconnected() {
             if (!over) {
                 over();
-                tell(() -> module.abandoned(clock.now(), request));
+                tell(() -> module.clientDisconnected(clock.now(), request));
             }
         }
 
@@ -295,7 +300,7 @@
         }
 
         private void tidy() {
-            if (over && allEnded() && open.remove(request.id) != null) {
+            if (over && allEnded() && open.remove(request.id()) != null) {
                 ids.remove(incoming.id());
             }
         }
@@ -315,45 +320,43 @@
             if (!over) {
                 over();
                 client.failed();
-                tell(() -> module.abandoned(clock.now(), request));
+                tell(() -> module.clientDisconnected(clock.now(), request));
             }
         }
 
         // Rule 2, kept here as well as in the module: a refusal says that trying again does no harm.
         private boolean mayRefuse() {
-            Contract.RequestClass k = settings.classes().get(request.classIndex);
-            return k.effect() == Contract.Effect.SAFE
-                    || k.effect() == Contract.Effect.KEYED && k.group() == Contract.Group.ALL
-                    || attempts.stream().allMatch(a -> a.outcome != null && a.outcome.neverRan);
+            RequestClass requestClass = settings.classes().get(request.classIndex());
+            return RetryRules.clientMayRetry(requestClass)
+                    || attempts.stream().allMatch(a -> a.outcome != null && a.outcome.provesNotExecuted());
         }
 
         // Rule 2 again, for a further attempt whose connection came up late: time for a repeat may be over.
         private boolean mayRepeat(Attempt next, double now) {
-            Contract.RequestClass k = settings.classes().get(request.classIndex);
-            return k.effect() == Contract.Effect.SAFE
-                    || attempts.stream()
-                            .noneMatch(a -> a != next
-                                    && (a.outcome == null || !a.outcome.neverRan)
-                                    && (k.effect() == Contract.Effect.UNSAFE || now >= a.sentAt + k.window()));
+            RequestClass requestClass = settings.classes().get(request.classIndex());
+            return attempts.stream()
+                    .allMatch(a -> a == next
+                            || a.outcome != null && a.outcome.provesNotExecuted()
+                            || RetryRules.mayRepeat(requestClass, a.sentAt, now));
         }
 
         private void send(String server, double within) {
             double now = clock.now();
             Attempt a = new Attempt(this, attempts.size(), now);
             attempts.add(a);
-            if (over || now >= endAt || attempts.size() > settings.limits().attempts()) {
-                a.ended(Contract.Outcome.NEVER_SENT, null, null);
+            if (over || now >= endAt || attempts.size() > settings.limits().maxAttempts()) {
+                a.attemptEnded(AttemptOutcome.NOT_SENT, null, null);
                 return;
             }
             double wait = within > 0 ? Math.min(within, endAt - now) : endAt - now;
             a.endAt = now + wait;
-            a.timer = after(wait, () -> a.giveUp(Contract.Outcome.TIMED_OUT));
+            a.timer = after(wait, () -> a.abort(AttemptOutcome.TIMED_OUT));
             a.attempt = pool.send(server, a);
         }
 
         private FullHttpRequest httpRequest(double wait) {
             HttpHeaders headers = incoming.headers().copy();
-            headers.set(RequestCheck.TIMEOUT, Decimals.thousandths(Math.max(1, wait) / MILLIS));
+            headers.set(HeaderNames.REQUEST_TIMEOUT, Decimals.formatThousandths(Math.max(1, wait) / MILLIS));
             if (body.length > 0 || incoming.method().equals(HttpMethod.POST)) {
                 headers.set(HttpHeaderNames.CONTENT_LENGTH, body.length);
             }
@@ -375,7 +378,7 @@
         private double endAt;
         private EndpointAttempt attempt;
         private Future<?> timer;
-        private Contract.Outcome outcome;
+        private AttemptOutcome outcome;
 
         private Attempt(PendingRequest pending, int index, double sentAt) {
             this.pending = pending;
@@ -384,16 +387,16 @@
         }
 
         // What was not yet written whole can't run, whatever the reason for giving it up.
-        private void giveUp(Contract.Outcome reason) {
+        private void abort(AttemptOutcome reason) {
             if (outcome == null && attempt != null) {
-                ended(attempt.giveUp() ? reason : Contract.Outcome.CONNECT_FAILED, null, null);
+                attemptEnded(attempt.abort() ? reason : AttemptOutcome.CONNECT_FAILED, null, null);
             }
         }
 
         private void dropUnwritten() {
-            if (outcome == null && attempt != null && !attempt.written()) {
-                attempt.giveUp();
-                ended(Contract.Outcome.NEVER_SENT, null, null);
+            if (outcome == null && attempt != null && !attempt.requestWritten()) {
+                attempt.abort();
+                attemptEnded(AttemptOutcome.NOT_SENT, null, null);
             }
         }
 
@@ -406,7 +409,7 @@
         }
 
         @Override
-        public void ended(Contract.Outcome how, EndpointAttempt.Answer answer, Contract.Report report) {
+        public void attemptEnded(AttemptOutcome how, UpstreamResponse answer, LoadReport report) {
             if (outcome != null) {
                 return;
             }
@@ -419,13 +422,13 @@
             // still busy.
             tell(() -> {
                 double now = clock.now();
-                if (how == Contract.Outcome.SERVED && !pending.over) {
+                if (how == AttemptOutcome.SUCCESS && !pending.over) {
                     pending.over();
-                    pending.client.served(answer);
+                    pending.client.succeeded(answer);
                 }
                 boolean finished = pending.over;
                 pending.tidy();
-                module.outcome(now, pending.request, index, how, now - sentAt, finished, report);
+                module.attemptEnded(now, pending.request, index, how, now - sentAt, finished, report);
             });
         }
     }
--- a/src/main/java/cobaltrack/benchlink/LongTable.java
+++ b/src/main/java/loadbalancer/simulator/LongTable.java
@@ -1,4 +1,4 @@
-package cobaltrack.benchlink;
+package loadbalancer.simulator;
 
 /** A table from request ids to requests that boxes nothing: open addressing with back-shift on removal. */
 final class LongTable<V> {
--- a/src/main/java/cobaltrack/benchlink/Instance.java
+++ b/src/main/java/loadbalancer/simulator/SimulatedSidecar.java
@@ -1,15 +1,18 @@
-package cobaltrack.benchlink;
+package loadbalancer.simulator;
 
-import cobaltrack.Contract;
-import cobaltrack.Decide;
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
+import loadbalancer.policy.BalancingPolicy;
+import loadbalancer.policy.LossThrottlingPolicy;
+import loadbalancer.policy.PolicyActions;
+import loadbalancer.policy.PolicyRequest;
+import loadbalancer.policy.PolicySettings;
 
 /** One sidecar: its module, its open requests, and its actions put on the wire. */
-final class Instance implements Contract.Actions {
+final class SimulatedSidecar implements PolicyActions {
     final int number;
-    final Contract.Settings settings;
-    final Contract.Events module;
+    final PolicySettings settings;
+    final BalancingPolicy module;
     final byte[][] classNames;
     final byte[][] tenantNames;
     final LongTable<Tracked> open = new LongTable<>();
@@ -17,16 +20,16 @@
 
     /** A request and how many of its attempts still owe an outcome, so that it can be forgotten in time. */
     static final class Tracked {
-        final Contract.Request request;
+        final PolicyRequest request;
         int owed;
         boolean over;
 
-        Tracked(Contract.Request request) {
+        Tracked(PolicyRequest request) {
             this.request = request;
         }
     }
 
-    Instance(int number, Contract.Settings settings, long seed, WireWriter out) {
+    SimulatedSidecar(int number, PolicySettings settings, long seed, WireWriter out) {
         this.number = number;
         this.settings = settings;
         this.out = out;
@@ -38,18 +41,18 @@
         for (int i = 0; i < tenantNames.length; i++) {
             tenantNames[i] = settings.tenants().get(i).name().getBytes(StandardCharsets.UTF_8);
         }
-        this.module = new Decide(settings, seed, this);
+        this.module = new LossThrottlingPolicy(settings, seed, this);
     }
 
     /** Forgets a request that is over and owes no outcome. */
     void tidy(Tracked t) {
         if (t.over && t.owed == 0) {
-            open.remove(t.request.id);
+            open.remove(t.request.id());
         }
     }
 
-    private void over(Contract.Request r) {
-        Tracked t = open.get(r.id);
+    private void over(PolicyRequest r) {
+        Tracked t = open.get(r.id());
         if (t != null) {
             t.over = true;
             tidy(t);
@@ -61,14 +64,14 @@
     }
 
     @Override
-    public void send(Contract.Request r, String server, double within) {
-        Tracked t = open.get(r.id);
+    public void forward(PolicyRequest r, String server, double within) {
+        Tracked t = open.get(r.id());
         if (t != null) {
             t.owed++;
         }
         begin("forward")
                 .space()
-                .integer(r.id)
+                .integer(r.id())
                 .space()
                 .word(server)
                 .space()
@@ -77,19 +80,19 @@
     }
 
     @Override
-    public void cancel(Contract.Request r, int attempt) {
-        begin("undo_send").space().integer(r.id).space().integer(attempt).line();
+    public void cancelAttempt(PolicyRequest r, int attempt) {
+        begin("undo_send").space().integer(r.id()).space().integer(attempt).line();
     }
 
     @Override
-    public void refuse(Contract.Request r, double retryAfter) {
-        begin("deny").space().integer(r.id).space().millis(retryAfter).line();
+    public void reject(PolicyRequest r, double retryAfter) {
+        begin("deny").space().integer(r.id()).space().millis(retryAfter).line();
         over(r);
     }
 
     @Override
-    public void fail(Contract.Request r) {
-        begin("drop_request").space().integer(r.id).line();
+    public void fail(PolicyRequest r) {
+        begin("drop_request").space().integer(r.id()).line();
         over(r);
     }
 
@@ -99,12 +102,12 @@
     }
 
     @Override
-    public void watchServers() {
+    public void watchEndpoints() {
         begin("stream_changes").word(" 1").line();
     }
 
     @Override
-    public void tellPeers(byte[] text) {
+    public void broadcast(byte[] text) {
         begin("notify")
                 .word(" * ")
                 .word(Base64.getEncoder().encodeToString(text))
@@ -112,7 +115,7 @@
     }
 
     @Override
-    public void wake(double at) {
+    public void scheduleWake(double at) {
         begin("wake_me").word(" period ").millis(at).line();
     }
 
--- a/src/main/java/cobaltrack/benchlink/Link.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorConnection.java
@@ -1,6 +1,5 @@
-package cobaltrack.benchlink;
+package loadbalancer.simulator;
 
-import cobaltrack.Contract;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -8,37 +7,44 @@
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.List;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointStatus;
+import loadbalancer.policy.LoadReport;
+import loadbalancer.policy.PolicyRequest;
+import loadbalancer.policy.PolicySettings;
+import loadbalancer.policy.WatchEvent;
 
 /** Reads batches of events, hands each to the module of its instance, and writes the replies. Decides nothing. */
-final class Link {
+public final class SimulatorConnection {
     private static final byte[][] OUTCOMES =
             bytes("done", "err", "busy", "etimedout", "econnrefused", "econnreset", "ecanceled", "skipped");
-    private static final Contract.Outcome[] OUTCOME = {
-        Contract.Outcome.SERVED,
-        Contract.Outcome.ERROR,
-        Contract.Outcome.FULL,
-        Contract.Outcome.TIMED_OUT,
-        Contract.Outcome.CONNECT_FAILED,
-        Contract.Outcome.RESET,
-        Contract.Outcome.CANCELLED,
-        Contract.Outcome.NEVER_SENT
+    private static final AttemptOutcome[] OUTCOME = {
+        AttemptOutcome.SUCCESS,
+        AttemptOutcome.ERROR,
+        AttemptOutcome.REJECTED,
+        AttemptOutcome.TIMED_OUT,
+        AttemptOutcome.CONNECT_FAILED,
+        AttemptOutcome.RESET,
+        AttemptOutcome.CANCELLED,
+        AttemptOutcome.NOT_SENT
     };
     private static final byte[][] MODES = bytes("U", "L", "D");
-    private static final Contract.Standing[] STANDING = Contract.Standing.values();
+    private static final EndpointStatus[] STANDING = EndpointStatus.values();
     private static final byte[][] SCOPES = bytes("D", "F", "C", "X");
-    private static final Contract.ListKind[] KIND = Contract.ListKind.values();
+    private static final WatchEvent[] KIND = WatchEvent.values();
     private static final byte[][] REPORTED = bytes("inflight", "queue", "util", "latency_ms", "qps", "eps");
     private static final int LISTS = 16;
 
     private final WireReader in;
     private final WireWriter out;
-    private final ArrayList<Instance> instances = new ArrayList<>();
-    private final List<List<Contract.Server>> lists = new ArrayList<>();
+    private final ArrayList<SimulatedSidecar> instances = new ArrayList<>();
+    private final List<List<Endpoint>> lists = new ArrayList<>();
     private final double[] values = new double[REPORTED.length];
     private double now = Double.NEGATIVE_INFINITY;
     private long batch;
 
-    Link(InputStream in, OutputStream out) {
+    public SimulatorConnection(InputStream in, OutputStream out) {
         this.in = new WireReader(in);
         this.out = new WireWriter(out);
         for (int i = 0; i < LISTS; i++) {
@@ -55,7 +61,7 @@
     }
 
     /** Runs until the input ends. */
-    void run() throws IOException {
+    public void run() throws IOException {
         while (in.nextLine()) {
             if (in.blank()) {
                 continue;
@@ -95,7 +101,7 @@
         } else if (in.is("order")) {
             order();
         } else if (in.is("deadline_hit")) {
-            Instance i = instance();
+            SimulatedSidecar i = instance();
             in.field("tag");
             guard(i, () -> i.module.wake(now));
         } else if (in.is("cancelled_by_client")) {
@@ -126,7 +132,7 @@
         void run();
     }
 
-    private void guard(Instance i, Call call) throws IOException {
+    private void guard(SimulatedSidecar i, Call call) throws IOException {
         try {
             call.run();
         } catch (RuntimeException | StackOverflowError e) {
@@ -134,9 +140,9 @@
         }
     }
 
-    private Instance instance() {
+    private SimulatedSidecar instance() {
         int n = in.small("sidecar");
-        Instance i = n < instances.size() ? instances.get(n) : null;
+        SimulatedSidecar i = n < instances.size() ? instances.get(n) : null;
         if (i == null) {
             throw in.fault("sidecar", "'" + n + "' is not running");
         }
@@ -149,22 +155,22 @@
             throw in.fault("sidecar", "'" + n + "' is out of range");
         }
         long seed = in.integer("seed");
-        Contract.Settings settings;
+        PolicySettings settings;
         try {
-            settings = new BootInfo(in.rest()).settings();
-        } catch (WireException e) {
+            settings = new InstanceParameters(in.rest()).settings();
+        } catch (WireFormatException e) {
             throw in.fault("boot_info", e.getMessage().replace("field boot_info: ", ""));
         }
         while (instances.size() <= n) {
             instances.add(null);
         }
-        Instance i = new Instance(n, settings, seed, out);
+        SimulatedSidecar i = new SimulatedSidecar(n, settings, seed, out);
         instances.set(n, i);
         guard(i, () -> i.module.start(now));
     }
 
     private void order() throws IOException {
-        Instance i = instance();
+        SimulatedSidecar i = instance();
         long id = in.integer("msg_id");
         int k = in.choice("grade", i.classNames, false);
         int tenant = in.choice("project", i.tenantNames, true);
@@ -176,69 +182,69 @@
         if (i.open.get(id) != null) {
             throw in.fault("msg_id", "'" + id + "' is open already");
         }
-        Contract.Request r = new Contract.Request(id, k, tenant, left, repeat);
-        i.open.put(id, new Instance.Tracked(r));
-        guard(i, () -> i.module.request(now, r));
+        PolicyRequest r = new PolicyRequest(id, k, tenant, left, repeat);
+        i.open.put(id, new SimulatedSidecar.Tracked(r));
+        guard(i, () -> i.module.requestArrived(now, r));
     }
 
     private void answer() throws IOException {
-        Instance i = instance();
+        SimulatedSidecar i = instance();
         long id = in.integer("msg_id");
         int attempt = in.small("attempt");
         in.field("endpoint");
-        Contract.Outcome outcome = OUTCOME[in.choice("disposition", OUTCOMES, false)];
+        AttemptOutcome outcome = OUTCOME[in.choice("disposition", OUTCOMES, false)];
         double lag = in.number("lag");
         boolean last = in.flag("last", false);
-        Contract.Report report = report();
-        Instance.Tracked t = i.open.get(id);
+        LoadReport report = report();
+        SimulatedSidecar.Tracked t = i.open.get(id);
         if (t == null) {
             return;
         }
         t.owed--;
         t.over |= last;
-        guard(i, () -> i.module.outcome(now, t.request, attempt, outcome, lag, last, report));
+        guard(i, () -> i.module.attemptEnded(now, t.request, attempt, outcome, lag, last, report));
         i.tidy(t);
     }
 
-    private Contract.Report report() {
+    private LoadReport report() {
         if (!in.report("telemetry", values, REPORTED)) {
             return null;
         }
-        return new Contract.Report(values[0], values[1], values[2], values[3], values[4], values[5]);
+        return new LoadReport(values[0], values[1], values[2], values[3], values[4], values[5]);
     }
 
     private void gone() throws IOException {
-        Instance i = instance();
-        Instance.Tracked t = i.open.get(in.integer("msg_id"));
+        SimulatedSidecar i = instance();
+        SimulatedSidecar.Tracked t = i.open.get(in.integer("msg_id"));
         if (t != null) {
             t.over = true;
-            guard(i, () -> i.module.abandoned(now, t.request));
+            guard(i, () -> i.module.clientDisconnected(now, t.request));
             i.tidy(t);
         }
     }
 
     private void flowing() throws IOException {
-        Instance i = instance();
-        Instance.Tracked t = i.open.get(in.integer("msg_id"));
+        SimulatedSidecar i = instance();
+        SimulatedSidecar.Tracked t = i.open.get(in.integer("msg_id"));
         int attempt = in.small("attempt");
         in.field("endpoint");
         in.number("lag");
         if (t != null) {
-            guard(i, () -> i.module.streaming(now, t.request, attempt));
+            guard(i, () -> i.module.responseStreaming(now, t.request, attempt));
         }
     }
 
     private void probed() throws IOException {
-        Instance i = instance();
+        SimulatedSidecar i = instance();
         String server = in.word("endpoint");
-        Contract.Outcome outcome = OUTCOME[in.choice("disposition", OUTCOMES, false)];
+        AttemptOutcome outcome = OUTCOME[in.choice("disposition", OUTCOMES, false)];
         double lag = in.number("lag");
-        Contract.Report report = report();
-        guard(i, () -> i.module.probed(now, server, outcome, lag, report));
+        LoadReport report = report();
+        guard(i, () -> i.module.probeEnded(now, server, outcome, lag, report));
     }
 
     private void memo() throws IOException {
-        Instance i = instance();
+        SimulatedSidecar i = instance();
         int from = in.small("src");
         String raw = in.more() ? in.word("raw") : "-";
         byte[] text;
@@ -247,7 +253,7 @@
         } catch (IllegalArgumentException e) {
             throw in.fault("raw", "is not base64");
         }
-        guard(i, () -> i.module.message(now, from, text));
+        guard(i, () -> i.module.messageReceived(now, from, text));
     }
 
     private void catalog() throws IOException {
@@ -256,7 +262,7 @@
             throw in.fault("buffer", "'" + n + "' is out of range");
         }
         int count = in.small("entries");
-        ArrayList<Contract.Server> list = new ArrayList<>();
+        ArrayList<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             if (!in.nextLine()) {
                 throw in.fault("entries", "the input ends inside a list");
@@ -266,29 +272,29 @@
                 throw in.fault("message", "'" + in.text() + "' where an entry was due");
             }
             double size = in.number("power_hint", 1);
-            Contract.Standing standing = STANDING[in.choice("mode", MODES, false)];
+            EndpointStatus standing = STANDING[in.choice("mode", MODES, false)];
             in.field("family_type");
             String zone = in.word("area");
             int cell = (int) in.number("block", -1);
             String id = in.word("endpoint");
-            list.add(new Contract.Server(id, standing, size, zone, cell, in.number("born", 0)));
+            list.add(new Endpoint(id, standing, size, zone, cell, in.number("born", 0)));
         }
         lists.set(n, List.copyOf(list));
     }
 
     private void membership() throws IOException {
-        Instance i = instance();
+        SimulatedSidecar i = instance();
         in.number("epoch", 0);
-        Contract.ListKind kind = KIND[in.choice("scope", SCOPES, false)];
-        List<Contract.Server> entries = List.of();
-        if (kind != Contract.ListKind.FAILED) {
+        WatchEvent kind = KIND[in.choice("scope", SCOPES, false)];
+        List<Endpoint> entries = List.of();
+        if (kind != WatchEvent.FAILED) {
             int n = in.small("buffer");
             if (n >= LISTS || lists.get(n) == null) {
                 throw in.fault("buffer", "'" + n + "' holds no list");
             }
             entries = lists.get(n);
         }
-        List<Contract.Server> list = entries;
-        guard(i, () -> i.module.servers(now, kind, list));
+        List<Endpoint> list = entries;
+        guard(i, () -> i.module.endpointsChanged(now, kind, list));
     }
 }
--- a/src/main/java/cobaltrack/benchlink/WireException.java
+++ b/src/main/java/loadbalancer/simulator/WireFormatException.java
@@ -1,10 +1,10 @@
-package cobaltrack.benchlink;
+package loadbalancer.simulator;
 
 /** The input does not follow the wire; the message names the line and the field. */
-final class WireException extends RuntimeException {
+public final class WireFormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    WireException(String message) {
+    WireFormatException(String message) {
         super(message);
     }
 }
--- a/src/main/java/cobaltrack/benchlink/WireReader.java
+++ b/src/main/java/loadbalancer/simulator/WireReader.java
@@ -1,4 +1,4 @@
-package cobaltrack.benchlink;
+package loadbalancer.simulator;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -278,7 +278,7 @@
         return true;
     }
 
-    WireException fault(String field, String what) {
-        return new WireException("line " + lineNumber + ": field " + field + ": " + what);
+    WireFormatException fault(String field, String what) {
+        return new WireFormatException("line " + lineNumber + ": field " + field + ": " + what);
     }
 }
--- a/src/main/java/cobaltrack/benchlink/WireWriter.java
+++ b/src/main/java/loadbalancer/simulator/WireWriter.java
@@ -1,4 +1,4 @@
-package cobaltrack.benchlink;
+package loadbalancer.simulator;
 
 import java.io.IOException;
 import java.io.OutputStream;
--- a/src/main/java/cobaltrack/sidecar/EndpointAttempt.java
+++ b/src/main/java/loadbalancer/upstream/EndpointAttempt.java
@@ -1,20 +1,18 @@
-package cobaltrack.sidecar;
+package loadbalancer.upstream;
 
-import cobaltrack.Contract;
 import io.netty.handler.codec.http.FullHttpRequest;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.LoadReport;
 
 /** One request under way to one endpoint. */
-final class EndpointAttempt {
-    /** An endpoint's answer to an attempt that was served. */
-    record Answer(byte[] body, String contentType) {}
-
+public final class EndpointAttempt {
     /** Is told once how an attempt ended, unless it was given up first. */
-    interface Listener {
+    public interface Listener {
         /** What to send, asked for right before the first byte; null if by now nothing may be sent. */
         FullHttpRequest request();
 
         /** The outcome, with the answer if it was served and the load report if one came. */
-        void ended(Contract.Outcome outcome, Answer answer, Contract.Report report);
+        void attemptEnded(AttemptOutcome outcome, UpstreamResponse answer, LoadReport report);
     }
 
     private final Listener listener;
@@ -42,23 +40,23 @@
     }
 
     /** Tells its listener how it ended, unless it was over before. */
-    void end(Contract.Outcome outcome, Answer answer, Contract.Report report) {
+    void end(AttemptOutcome outcome, UpstreamResponse answer, LoadReport report) {
         if (!over) {
             over = true;
-            listener.ended(outcome, answer, report);
+            listener.attemptEnded(outcome, answer, report);
         }
     }
 
     /** True once the endpoint may have had the whole request, so that it may run. */
-    boolean written() {
-        return connection != null && connection.written();
+    public boolean requestWritten() {
+        return connection != null && connection.requestWritten();
     }
 
     /**
      * Gives up the attempt by closing its connection; its listener hears no more. True if the endpoint
      * may have had the whole request, so that it may run.
      */
-    boolean giveUp() {
+    public boolean abort() {
         if (over) {
             return true;
         }
@@ -66,7 +64,7 @@
         if (connection == null) {
             return false;
         }
-        boolean written = written();
+        boolean written = requestWritten();
         connection.close();
         return written;
     }
--- a/src/main/java/cobaltrack/sidecar/EndpointConnection.java
+++ b/src/main/java/loadbalancer/upstream/EndpointConnection.java
@@ -1,6 +1,5 @@
-package cobaltrack.sidecar;
+package loadbalancer.upstream;
 
-import cobaltrack.Contract;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -19,20 +18,22 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.eventloop.Clock;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.protocol.HeaderNames;
 
 /**
  * One connection to an endpoint and the attempt on it, if any. It writes one request at a time, reads its answer and
  * judges what came: an answer that is spoilt, stalls or is followed by more ends the connection.
  */
 final class EndpointConnection extends SimpleChannelInboundHandler<HttpObject> {
-    private static final String NOT_STARTED = "Not-Started";
     /** An answer that has begun and brings nothing for so long will not end. */
     private static final double STALL_MS = 500;
 
     private final EndpointPool pool;
     private final EventLoop loop;
     private final Clock clock;
-    private final Endpoint endpoint;
+    private final PooledEndpoint endpoint;
     private final EndpointResponseDecoder decoder = new EndpointResponseDecoder();
     private final ResponseAssembler response = new ResponseAssembler();
     private Channel channel;
@@ -50,7 +51,7 @@
     private double idleFor;
 
     /** A connection that has no channel yet. */
-    EndpointConnection(EndpointPool pool, EventLoop loop, Clock clock, Endpoint endpoint) {
+    EndpointConnection(EndpointPool pool, EventLoop loop, Clock clock, PooledEndpoint endpoint) {
         this.pool = pool;
         this.loop = loop;
         this.clock = clock;
@@ -78,7 +79,7 @@
     }
 
     /** True once the last byte of the request on it has been written. */
-    boolean written() {
+    boolean requestWritten() {
         return written;
     }
 
@@ -134,7 +135,7 @@
         }
         // Nothing was sent. The endpoint has paid for the connection, so the next request has it.
         release();
-        next.end(Contract.Outcome.CONNECT_FAILED, null, null);
+        next.end(AttemptOutcome.CONNECT_FAILED, null, null);
     }
 
     private void write(EndpointAttempt next, FullHttpRequest request) {
@@ -176,7 +177,7 @@
         if (!ended.over() && readAt == 0) {
             endpoint.closedAfterIdle(idleFor);
         }
-        ended.end(written ? Contract.Outcome.RESET : Contract.Outcome.CONNECT_FAILED, null, null);
+        ended.end(written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, null, null);
     }
 
     // What comes spoilt has run, perhaps, and the connection is of no further use.
@@ -248,23 +249,23 @@
             channel.close();
         }
         HttpResponse head = response.head();
-        Contract.Outcome outcome = outcome(head);
+        AttemptOutcome outcome = outcome(head);
         HttpHeaders headers = head.headers();
-        EndpointAttempt.Answer answer = outcome == Contract.Outcome.SERVED
-                ? new EndpointAttempt.Answer(response.body(), headers.get(HttpHeaderNames.CONTENT_TYPE))
+        UpstreamResponse answer = outcome == AttemptOutcome.SUCCESS
+                ? new UpstreamResponse(response.body(), headers.get(HttpHeaderNames.CONTENT_TYPE))
                 : null;
-        done.end(outcome, answer, LoadReport.parse(headers.getAll(LoadReport.HEADER)));
+        done.end(outcome, answer, LoadReportParser.parse(headers.getAll(HeaderNames.SERVER_LOAD)));
     }
 
-    private static Contract.Outcome outcome(HttpResponse head) {
+    private static AttemptOutcome outcome(HttpResponse head) {
         HttpResponseStatus status = head.status();
         if (status.equals(HttpResponseStatus.OK)) {
-            return Contract.Outcome.SERVED;
+            return AttemptOutcome.SUCCESS;
         }
         boolean turnedAway = (status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
                         || status.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
-                && "1".equals(head.headers().get(NOT_STARTED));
-        return turnedAway ? Contract.Outcome.FULL : Contract.Outcome.ERROR;
+                && "1".equals(head.headers().get(HeaderNames.NOT_STARTED));
+        return turnedAway ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR;
     }
 
     // The decoder has made of the end what it could: nothing more will come, whether or not an answer was whole.
--- a/src/main/java/cobaltrack/sidecar/EndpointPool.java
+++ b/src/main/java/loadbalancer/upstream/EndpointPool.java
@@ -1,6 +1,5 @@
-package cobaltrack.sidecar;
+package loadbalancer.upstream;
 
-import cobaltrack.Contract;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -11,12 +10,17 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.eventloop.Clock;
+import loadbalancer.eventloop.SelectBarrier;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.EndpointStatus;
 
 /**
  * Connections to endpoints, each with one request at a time, and what became of each attempt. It sends what
  * it is told once and never again. Everything here runs on the one event loop.
  */
-final class EndpointPool {
+public final class EndpointPool {
     /** Of the endpoint's own idle limit: a request must never cross the endpoint's closing. */
     private static final double IDLE_SHARE = 0.75;
 
@@ -34,7 +38,7 @@
     private final Bootstrap bootstrap;
     private final double idleLimit;
     private final int maxOpen;
-    private final Map<String, Endpoint> endpoints = new HashMap<>();
+    private final Map<String, PooledEndpoint> endpoints = new HashMap<>();
     private final ArrayDeque<EndpointConnection> resting = new ArrayDeque<>();
     private int open;
     private double distrustUntil = Double.NEGATIVE_INFINITY;
@@ -46,7 +50,7 @@
      * @param endpointIdle milliseconds after which an endpoint closes an idle connection
      * @param maxOpen connections open at once to all endpoints together
      */
-    EndpointPool(
+    public EndpointPool(
             EventLoop loop,
             Class<? extends Channel> channels,
             Clock clock,
@@ -70,16 +74,16 @@
      * Takes in the list. What drains, is gone, has moved or was started anew ends as an endpoint here, for good:
      * its idle connections close, and none that comes up later or is still in use takes anything new.
      */
-    void update(EndpointList list) {
-        Map<String, Endpoint> before = new HashMap<>(endpoints);
-        if (list.whole()) {
+    public void update(EndpointList list) {
+        Map<String, PooledEndpoint> before = new HashMap<>(endpoints);
+        if (list.snapshot()) {
             endpoints.clear();
         }
         for (EndpointList.Entry entry : list.entries()) {
-            String id = entry.server().id();
-            if (entry.server().standing() == Contract.Standing.UP) {
-                Endpoint e = before.get(id);
-                endpoints.put(id, e != null && e.is(entry) ? e : new Endpoint(entry, idleLimit));
+            String id = entry.endpoint().id();
+            if (entry.endpoint().status() == EndpointStatus.READY) {
+                PooledEndpoint e = before.get(id);
+                endpoints.put(id, e != null && e.is(entry) ? e : new PooledEndpoint(entry, idleLimit));
             } else {
                 endpoints.remove(id);
             }
@@ -92,18 +96,18 @@
     }
 
     /** Sends a request to an endpoint after a fresh look at the sockets, or tells the listener why it can't. */
-    EndpointAttempt send(String id, EndpointAttempt.Listener listener) {
+    public EndpointAttempt send(String id, EndpointAttempt.Listener listener) {
         EndpointAttempt attempt = new EndpointAttempt(listener);
-        Endpoint endpoint = endpoints.get(id);
+        PooledEndpoint endpoint = endpoints.get(id);
         if (endpoint == null) {
-            attempt.end(Contract.Outcome.NEVER_SENT, null, null);
+            attempt.end(AttemptOutcome.NOT_SENT, null, null);
         } else {
             SelectBarrier.runAfterSelect(loop, () -> begin(endpoint, attempt));
         }
         return attempt;
     }
 
-    private void begin(Endpoint endpoint, EndpointAttempt attempt) {
+    private void begin(PooledEndpoint endpoint, EndpointAttempt attempt) {
         if (attempt.over()) {
             return;
         }
@@ -114,11 +118,11 @@
             connect(endpoint, attempt);
         } else {
             // Guards against running out of descriptors: nothing was sent, and the module may go elsewhere.
-            attempt.end(Contract.Outcome.CONNECT_FAILED, null, null);
+            attempt.end(AttemptOutcome.CONNECT_FAILED, null, null);
         }
     }
 
-    private void connect(Endpoint endpoint, EndpointAttempt attempt) {
+    private void connect(PooledEndpoint endpoint, EndpointAttempt attempt) {
         EndpointConnection connection = new EndpointConnection(this, loop, clock, endpoint);
         open++;
         ChannelFuture connecting = bootstrap
@@ -147,7 +151,7 @@
         } else {
             // Guards against counting for ever what never was: there is no channel whose end would tell.
             open--;
-            attempt.end(Contract.Outcome.CONNECT_FAILED, null, null);
+            attempt.end(AttemptOutcome.CONNECT_FAILED, null, null);
         }
     }
 
@@ -179,15 +183,15 @@
 
     private void sweep() {
         double now = clock.now();
-        for (Endpoint endpoint : endpoints.values()) {
+        for (PooledEndpoint endpoint : endpoints.values()) {
             endpoint.sweep(now);
         }
     }
 
     private boolean closeOldestIdle() {
-        Endpoint oldest = null;
+        PooledEndpoint oldest = null;
         double since = Double.POSITIVE_INFINITY;
-        for (Endpoint endpoint : endpoints.values()) {
+        for (PooledEndpoint endpoint : endpoints.values()) {
             if (endpoint.oldestIdleSince() < since) {
                 oldest = endpoint;
                 since = endpoint.oldestIdleSince();
--- a/src/main/java/cobaltrack/sidecar/EndpointResponseDecoder.java
+++ b/src/main/java/loadbalancer/upstream/EndpointResponseDecoder.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.upstream;
 
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpResponseDecoder;
--- a/src/main/java/cobaltrack/sidecar/LoadReport.java
+++ b/src/main/java/loadbalancer/upstream/LoadReportParser.java
@@ -1,26 +1,26 @@
-package cobaltrack.sidecar;
+package loadbalancer.upstream;
 
-import cobaltrack.Contract;
 import java.util.List;
+import loadbalancer.policy.LoadReport;
+import loadbalancer.protocol.Decimals;
 
 /** Reads the load report that an endpoint's answer may carry, such as {@code util=0.61,qps=44}. */
-final class LoadReport {
-    static final String HEADER = "Server-Load";
+public final class LoadReportParser {
     /**
      * A peer's word: no endpoint holds or serves more, and a larger figure would spoil the means it goes
      * into.
      */
     private static final double MAX_VALUE = 1e6;
 
-    private LoadReport() {}
+    private LoadReportParser() {}
 
     /** The report in these headers; null if there is not just one, or one that can't be read. */
-    static Contract.Report parse(List<String> headers) {
+    static LoadReport parse(List<String> headers) {
         return headers.size() == 1 ? parse(headers.get(0)) : null;
     }
 
     /** The report, or null if any part of it is malformed: half a report would mislead. */
-    static Contract.Report parse(String text) {
+    static LoadReport parse(String text) {
         double inflight = Double.NaN;
         double queue = Double.NaN;
         double util = Double.NaN;
@@ -44,6 +44,6 @@
                 default -> {}
             }
         }
-        return new Contract.Report(inflight, queue, util, latency, perSecond, errors);
+        return new LoadReport(inflight, queue, util, latency, perSecond, errors);
     }
 }
--- a/src/main/java/cobaltrack/sidecar/Endpoint.java
+++ b/src/main/java/loadbalancer/upstream/PooledEndpoint.java
@@ -1,13 +1,14 @@
-package cobaltrack.sidecar;
+package loadbalancer.upstream;
 
 import java.net.SocketAddress;
 import java.util.ArrayDeque;
+import loadbalancer.discovery.EndpointList;
 
 /**
  * An endpoint on the list and its idle connections. Once it has ended it stays so: an endpoint that comes back, has
  * moved or was started anew is another one.
  */
-final class Endpoint {
+final class PooledEndpoint {
     /** No endpoint is taken to close connections that have been idle for less. */
     private static final double MIN_IDLE_LIMIT_MS = 50;
     /** Of the idle time after which an endpoint was found to have closed a connection. */
@@ -29,9 +30,9 @@
      *
      * @param idleLimit milliseconds for which an idle connection may still be used
      */
-    Endpoint(EndpointList.Entry entry, double idleLimit) {
+    PooledEndpoint(EndpointList.Entry entry, double idleLimit) {
         this.address = entry.address();
-        this.startedAt = entry.server().startedAt();
+        this.startedAt = entry.endpoint().startedAtMillis();
         this.maxIdleLimit = idleLimit;
         this.idleLimit = idleLimit;
     }
@@ -42,7 +43,7 @@
 
     /** True if this is the same process at the same place, as far as the list tells. */
     boolean is(EndpointList.Entry entry) {
-        return address.equals(entry.address()) && startedAt == entry.server().startedAt();
+        return address.equals(entry.address()) && startedAt == entry.endpoint().startedAtMillis();
     }
 
     boolean ended() {
--- a/src/main/java/cobaltrack/sidecar/ResponseAssembler.java
+++ b/src/main/java/loadbalancer/upstream/ResponseAssembler.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.upstream;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpContent;
@@ -12,6 +12,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
+import loadbalancer.protocol.ProtocolLimits;
 
 /**
  * Assembles one response from decoded parts and judges whether it is whole.
@@ -20,7 +21,7 @@
  * with neither, with its connection. The decoder reports the last kind as ended after every kind of close, so the
  * caller has to say whether the server really ended the stream: a reset is no end.
  */
-final class ResponseAssembler {
+public final class ResponseAssembler {
     /** What is known of the response so far. */
     enum State {
         /** More has to come. */
@@ -31,9 +32,6 @@
         UNUSABLE
     }
 
-    /** The longest body that is passed on, in either direction. */
-    static final int MAX_BODY_BYTES = 64 * 1024;
-
     /** Interim responses ahead of the final one; more are not meant to end. */
     private static final int MAX_INTERIM_RESPONSES = 8;
 
@@ -101,14 +99,14 @@
             return HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encoding);
         }
         if (HttpUtil.isContentLengthSet(response)) {
-            return HttpUtil.getContentLength(response) <= MAX_BODY_BYTES;
+            return HttpUtil.getContentLength(response) <= ProtocolLimits.MAX_BODY_BYTES;
         }
         endsWithConnection = mayHaveBody(response.status());
         return true;
     }
 
     private boolean append(ByteBuf bytes) {
-        if (body.size() + bytes.readableBytes() > MAX_BODY_BYTES) {
+        if (body.size() + bytes.readableBytes() > ProtocolLimits.MAX_BODY_BYTES) {
             return false;
         }
         byte[] copy = new byte[bytes.readableBytes()];
--- /dev/null
+++ b/src/main/java/loadbalancer/upstream/UpstreamResponse.java
@@ -0,0 +1,9 @@
+package loadbalancer.upstream;
+
+/**
+ * An endpoint's response to an attempt that succeeded.
+ *
+ * @param body its body; not copied, and not to be changed
+ * @param contentType its content type, or null
+ */
+public record UpstreamResponse(byte[] body, String contentType) {}
--- a/src/test/java/cobaltrack/SourceRulesTest.java
+++ b/src/test/java/loadbalancer/SourceRulesTest.java
@@ -1,4 +1,4 @@
-package cobaltrack;
+package loadbalancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,10 +16,10 @@
 /** What holds for every source file of the program. */
 class SourceRulesTest {
     private static final Path MAIN = Path.of("src/main/java");
-    private static final Path MODULE = MAIN.resolve("cobaltrack/Decide.java");
+    private static final Path MODULE = MAIN.resolve("loadbalancer/policy/LossThrottlingPolicy.java");
     private static final int MAX_LINES = 400;
     /** Until the module is split into files of one matter each it may not grow; the formatter wraps some lines. */
-    private static final int MAX_MODULE_LINES = 1012;
+    private static final int MAX_MODULE_LINES = 1014;
 
     private static final Pattern WALL_CLOCK =
             Pattern.compile("currentTimeMillis|Instant\\.now|Clock\\.system|LocalDateTime|ZonedDateTime|new Date\\(");
@@ -37,12 +37,6 @@
         assertTrue(lines <= (file.equals(MODULE) ? MAX_MODULE_LINES : MAX_LINES), file + " has " + lines);
     }
 
-    @Test
-    void theModuleNamesItsInterface() throws IOException {
-        List<String> lines = Files.readAllLines(MODULE);
-        assertTrue(String.join("\n", lines.subList(0, 15)).contains("Contract.java"));
-    }
-
     // Spans of time follow the monotonic clock, which no step moves.
     @Test
     void theWallClockIsReadInOneClassOnly() throws IOException {
--- a/src/test/java/cobaltrack/sidecar/DiscoveryTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,6 +11,10 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
+import loadbalancer.lifecycle.ConfigurationReload;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestClient;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -25,7 +29,7 @@
     }
 
     /**
-     * Discovery that answers its first call with this and breaks it, and leaves the second open and silent.
+     * DiscoveryClient that answers its first call with this and breaks it, and leaves the second open and silent.
      */
     private static FakeServer failing(String first) throws IOException {
         FakeServer[] self = new FakeServer[1];
@@ -64,8 +68,8 @@
                 FakeServer d = new FakeServer((r, w) -> w.text(WATCH
                         + chunk("")
                         + chunk(change.replace('\'', '"')
-                                .replace("NEXT", TestNode.host("s1", next.address(), "ready")))));
-                TestNode n = new TestNode(d.address(), old.address());
+                                .replace("NEXT", TestSidecar.host("s1", next.address(), "ready")))));
+                TestSidecar n = new TestSidecar(d.address(), old.address());
                 TestClient c = n.client()) {
             assertTrue(d.awaitRequest().line().contains("/registry/instances?watch=1&after=41 "));
             askUntil(c, "next");
@@ -90,7 +94,7 @@
     void afterAFailedCallTheOldListStandsAndItIsAskedForAgain(String first) throws Exception {
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
                 FakeServer d = failing(first);
-                TestNode n = new TestNode(d.address(), e.address());
+                TestSidecar n = new TestSidecar(d.address(), e.address());
                 TestClient c = n.client()) {
             d.awaitRequest();
             assertTrue(d.awaitRequest().line().contains("after=41 "));
@@ -101,9 +105,9 @@
     @Test
     void aWatchThatFallsSilentIsBrokenAndAskedForAgain() throws Exception {
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
-                FakeServer d = new FakeServer((r, w) ->
-                        w.text(WATCH + chunk(TestNode.list(77, false, TestNode.host("s0", e.address(), "ready")))));
-                TestNode n = new TestNode(d.address(), e.address())) {
+                FakeServer d = new FakeServer((r, w) -> w.text(
+                        WATCH + chunk(TestSidecar.list(77, false, TestSidecar.host("s0", e.address(), "ready")))));
+                TestSidecar n = new TestSidecar(d.address(), e.address())) {
             assertTrue(d.awaitRequest().line().contains("after=41 "));
             d.awaitEnd();
             assertTrue(d.awaitRequest().line().contains("after=77 "));
@@ -117,7 +121,7 @@
     void aPushedListIsWatchedAndTheWatchRenewed() throws Exception {
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
                 FakeServer d = failing("");
-                TestNode n = new TestNode(1024, d.address(), "push", e.address());
+                TestSidecar n = new TestSidecar(1024, d.address(), "push", e.address());
                 TestClient c = n.client()) {
             d.awaitRequest();
             d.awaitRequest();
@@ -132,20 +136,20 @@
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
                 FakeServer d = new FakeServer((r, w) -> {
                     await(tell);
-                    w.text(WATCH + chunk(TestNode.list(42, false)));
+                    w.text(WATCH + chunk(TestSidecar.list(42, false)));
                 });
-                TestNode n = new TestNode(1024, d.address(), "push", e.address());
+                TestSidecar n = new TestSidecar(1024, d.address(), "push", e.address());
                 TestClient c = n.client()) {
             assertEquals(503, c.ask(health).status());
             tell.countDown();
-            n.await(n.server::serving);
+            n.await(n.server::isReady);
             assertEquals(200, c.ask(health).status());
         }
         // With the agent out of reach it is ready all the same, a little later.
-        try (TestNode n = new TestNode(1024, FakeServer.refusing(), "push", FakeServer.refusing());
+        try (TestSidecar n = new TestSidecar(1024, FakeServer.refusing(), "push", FakeServer.refusing());
                 TestClient c = n.client()) {
             assertEquals(503, c.ask(health).status());
-            n.await(n.server::serving);
+            n.await(n.server::isReady);
             assertEquals(200, c.ask(health).status());
         }
     }
@@ -163,13 +167,14 @@
                 });
                 FakeServer moved = new FakeServer((r, w) -> {
                     await(tell);
-                    w.text(WATCH + chunk(TestNode.list(7, true, TestNode.host("s1", next.address(), "ready"))));
+                    w.text(WATCH + chunk(TestSidecar.list(7, true, TestSidecar.host("s1", next.address(), "ready"))));
                 });
-                TestNode n = new TestNode(d.address(), e.address())) {
+                TestSidecar n = new TestSidecar(d.address(), e.address())) {
             d.awaitRequest();
-            String good = TestNode.config("127.0.0.1:0", moved.address(), 1024);
+            String good = TestSidecar.config("127.0.0.1:0", moved.address(), 1024);
             Path file = dir.resolve("c.json");
-            Reload reload = new Reload(file.toString(), new ObjectMapper(), n.watch, log::add);
+            ConfigurationReload reload =
+                    new ConfigurationReload(file.toString(), new ObjectMapper(), n.watch, log::add);
             for (String bad : new String[] {null, "{", good.replace(moved.address(), "nowhere")}) {
                 if (bad != null) {
                     Files.writeString(file, bad);
@@ -177,7 +182,10 @@
                 n.group.next().submit(reload).get();
             }
             assertEquals(
-                    3, log.stream().filter(l -> l.contains("not taken over")).count());
+                    3,
+                    log.stream()
+                            .filter(l -> l.contains("configuration reload rejected"))
+                            .count());
             assertEquals(0, moved.connections());
 
             // Twice in a row is no more than once; what the old watch has said is read too late, for the
@@ -186,7 +194,7 @@
             n.group
                     .next()
                     .submit(() -> {
-                        late[0].text(chunk(TestNode.list(99, true)));
+                        late[0].text(chunk(TestSidecar.list(99, true)));
                         reload.run();
                         reload.run();
                         return null;
--- a/src/test/java/cobaltrack/sidecar/StartTimesTest.java
+++ b/src/test/java/loadbalancer/discovery/StartTimesTest.java
@@ -1,12 +1,14 @@
-package cobaltrack.sidecar;
+package loadbalancer.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.eventloop.Clock;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointStatus;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -29,16 +31,16 @@
     /** What the module hears as the age of a server with this start, in milliseconds. */
     private double age(String id, double told) {
         return clock.now()
-                - convert(false, server(id, told, Contract.Standing.UP)).get(0).startedAt();
+                - convert(false, server(id, told, EndpointStatus.READY)).get(0).startedAtMillis();
     }
 
-    private static Contract.Server server(String id, double told, Contract.Standing standing) {
-        return new Contract.Server(id, standing, 1, "a", 0, told);
+    private static Endpoint server(String id, double told, EndpointStatus standing) {
+        return new Endpoint(id, standing, 1, "a", 0, told);
     }
 
-    private List<Contract.Server> convert(boolean whole, Contract.Server... servers) {
+    private List<Endpoint> convert(boolean whole, Endpoint... servers) {
         List<EndpointList.Entry> entries = new ArrayList<>();
-        for (Contract.Server s : servers) {
+        for (Endpoint s : servers) {
             entries.add(new EndpointList.Entry(s, null));
         }
         return starts.convert(new EndpointList(1, whole, entries));
@@ -110,7 +112,7 @@
     void longAgoStaysLongAgo() {
         step = HOUR;
         assertEquals(
-                0, convert(false, server("s", 0, Contract.Standing.UP)).get(0).startedAt());
+                0, convert(false, server("s", 0, EndpointStatus.READY)).get(0).startedAtMillis());
     }
 
     @Test
@@ -120,8 +122,8 @@
         long born = wallClock();
         assertEquals(0, age("s", born), 1e-6);
         assertEquals(0, age("t", born), 1e-6);
-        convert(false, server("s", born, Contract.Standing.GONE));
-        convert(true, server("u", born, Contract.Standing.UP));
+        convert(false, server("s", born, EndpointStatus.REMOVED));
+        convert(true, server("u", born, EndpointStatus.READY));
         // Told anew they are taken for new: as old as that start can be by now.
         elapsed += 1000;
         assertEquals(1000, age("s", born), 1e-6);
--- a/src/test/java/cobaltrack/sidecar/WatchTest.java
+++ b/src/test/java/loadbalancer/discovery/WatchTest.java
@@ -1,10 +1,9 @@
-package cobaltrack.sidecar;
+package loadbalancer.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -17,6 +16,12 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
+import loadbalancer.configuration.Configuration;
+import loadbalancer.eventloop.Clock;
+import loadbalancer.policy.WatchEvent;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestSidecar;
+import loadbalancer.upstream.EndpointPoolTest;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -24,23 +29,23 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** One watch against what discovery may do to it: pieces, nonsense, silence, and a move at any of these moments. */
-class WatchTest implements Discovery.Listener {
+class WatchTest implements DiscoveryClient.Listener {
     private static final String WATCH = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final AtomicLong nanos = new AtomicLong(1);
     private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
     private final List<String> log = new CopyOnWriteArrayList<>();
     private final BlockingQueue<FakeServer.Wire> calls = new LinkedBlockingQueue<>();
-    private Discovery discovery;
+    private DiscoveryClient discovery;
 
     @Override
-    public void list(Contract.ListKind kind, EndpointList list) {
-        heard.add(kind + " " + list.seq() + " "
-                + list.entries().stream().map(e -> e.server().id()).toList());
+    public void endpointsReceived(WatchEvent kind, EndpointList list) {
+        heard.add(kind + " " + list.version() + " "
+                + list.entries().stream().map(e -> e.endpoint().id()).toList());
     }
 
     @Override
-    public void noWatch(Contract.ListKind why) {
+    public void watchFailed(WatchEvent why) {
         heard.add(loop.inEventLoop() ? why.toString() : why + " from another thread");
     }
 
@@ -54,21 +59,21 @@
     }
 
     // The clock stands still, so that no watch is silent before the test sets it on.
-    private Discovery watch(String address, String how) throws Exception {
+    private DiscoveryClient watch(String address, String how) throws Exception {
         ObjectMapper mapper = new ObjectMapper();
-        Config config = Config.parse(
-                TestNode.config("127.0.0.1:0", address, 64)
+        Configuration config = Configuration.parse(
+                TestSidecar.config("127.0.0.1:0", address, 64)
                         .replace("\"discovery\":\"ask\"", "\"discovery\":\"" + how + "\""),
                 mapper);
-        discovery = loop.submit(() -> new Discovery(
+        discovery = loop.submit(() -> new DiscoveryClient(
                         loop,
                         EndpointPoolTest.ScarceChannel.class,
                         new Clock(nanos::get),
-                        config.discovery(),
+                        config.discoveryAddress(),
                         mapper,
                         config.settings(),
                         config.seed(),
-                        config.known(),
+                        config.lastKnownList(),
                         this,
                         log::add))
                 .get();
@@ -81,7 +86,7 @@
     }
 
     private void move(FakeServer to) throws Exception {
-        loop.submit(() -> discovery.move(EndpointList.address(to.address()))).get();
+        loop.submit(() -> discovery.migrate(EndpointList.address(to.address()))).get();
     }
 
     // What was heard has been dealt with whole.
@@ -108,9 +113,9 @@
     private static String list(long seq, boolean whole, String... names) {
         String[] hosts = new String[names.length];
         for (int i = 0; i < names.length; i++) {
-            hosts[i] = TestNode.host(names[i], "127.0.0.1:9", "ready");
+            hosts[i] = TestSidecar.host(names[i], "127.0.0.1:9", "ready");
         }
-        return TestNode.list(seq, whole, hosts);
+        return TestSidecar.list(seq, whole, hosts);
     }
 
     private static String indented(String json) throws IOException {
@@ -136,7 +141,7 @@
                 again();
             }
             next(calls).text(WATCH + chunk(list(50, true, "a") + "\n"));
-            assertEquals("FULL 50 [a]", next(heard));
+            assertEquals("SNAPSHOT 50 [a]", next(heard));
         }
     }
 
@@ -152,10 +157,10 @@
             for (int i = 0; i < all.length(); i += piece) {
                 w.text(chunk(all.substring(i, Math.min(all.length(), i + piece))));
             }
-            assertEquals("FULL 50 [a, b{\"}\\]", next(heard));
-            assertEquals("CHANGES 51 [c]", next(heard));
-            assertEquals("CHANGES 52 []", next(heard));
-            assertEquals("CHANGES 53 [d]", next(heard));
+            assertEquals("SNAPSHOT 50 [a, b{\"}\\]", next(heard));
+            assertEquals("DELTA 51 [c]", next(heard));
+            assertEquals("DELTA 52 []", next(heard));
+            assertEquals("DELTA 53 [d]", next(heard));
             assertEquals(List.of(), log);
         }
     }
@@ -173,14 +178,14 @@
                 "DEEP"
             })
     void aListThatCannotBeReadCostsOneLineAndTheWatch(String bad) throws Exception {
-        String text = bad.replace("ENDLESS", "x".repeat(ListReader.MAX_OBJECT_BYTES + 1))
+        String text = bad.replace("ENDLESS", "x".repeat(EndpointListDecoder.MAX_OBJECT_BYTES + 1))
                 .replace("DEEP", "{\"a\":".repeat(5000));
         try (FakeServer d = server()) {
             watch(d.address(), "ask");
             for (int round = 1; round <= 2; round++) {
                 FakeServer.Wire good = next(calls);
                 good.text(WATCH + chunk(list(50 + round, true, "a")));
-                assertEquals("FULL " + (50 + round) + " [a]", next(heard));
+                assertEquals("SNAPSHOT " + (50 + round) + " [a]", next(heard));
                 tryText(good, chunk(text));
                 assertEquals("FAILED", next(heard));
                 // The same again before a good one is told no second time.
@@ -192,7 +197,7 @@
                 again();
             }
             assertTrue(
-                    log.get(0).startsWith("server list not taken over: ")
+                    log.get(0).startsWith("malformed endpoint list ignored: ")
                             && log.get(0).length() < 400,
                     log.get(0));
             assertTrue(d.requests.get(d.requests.size() - 1).line().contains("after=52 "));
@@ -222,7 +227,7 @@
             FakeServer.Wire w = next(calls);
             w.text(first.replace("LIST", WATCH + chunk(list(50, true))));
             if (first.equals("LIST")) {
-                assertEquals("FULL 50 []", next(heard));
+                assertEquals("SNAPSHOT 50 []", next(heard));
             }
             turn();
             advance(2500);
@@ -233,7 +238,7 @@
             turn();
             assertEquals(0, heard.size());
             advance(1200);
-            assertEquals("SILENT", next(heard));
+            assertEquals("IDLE_TIMEOUT", next(heard));
             d.awaitEnd();
         }
     }
@@ -260,9 +265,9 @@
                 } else {
                     w.socket().close();
                 }
-                assertEquals("FULL 50 [a]", next(heard));
+                assertEquals("SNAPSHOT 50 [a]", next(heard));
                 if (!cut) {
-                    assertEquals("FULL 51 [b, c]", next(heard));
+                    assertEquals("SNAPSHOT 51 [b, c]", next(heard));
                 }
                 assertEquals("FAILED", next(heard));
                 turn();
@@ -280,7 +285,7 @@
             w.text(WATCH);
             for (int i = 1; i <= 10; i++) {
                 w.text(chunk("\n") + chunk(list(50 + i, false)) + chunk("\r\n"));
-                assertEquals("CHANGES " + (50 + i) + " []", next(heard));
+                assertEquals("DELTA " + (50 + i) + " []", next(heard));
                 advance(2000);
             }
             assertEquals(1, d.connections());
@@ -294,7 +299,7 @@
             next(calls);
             advance(3700);
             next(calls).text(WATCH + chunk(list(50, true, "a")));
-            assertEquals("FULL 50 [a]", next(heard));
+            assertEquals("SNAPSHOT 50 [a]", next(heard));
             for (int i = 0; i < 50; i++) {
                 double wait = loop.submit(discovery::pushedWait).get();
                 // What the agent hears when it is back is told at once; the grace of these settings is 2 s.
@@ -313,8 +318,8 @@
             FakeServer.Wire w = next(calls);
             assertFalse(d.requests.get(1).line().contains("after"));
             w.text(WATCH + chunk(list(3, true, "a")) + chunk(list(4, false, "b")));
-            assertEquals("FULL 3 [a]", next(heard));
-            assertEquals("CHANGES 4 [b]", next(heard));
+            assertEquals("SNAPSHOT 3 [a]", next(heard));
+            assertEquals("DELTA 4 [b]", next(heard));
         }
     }
 
@@ -328,7 +333,7 @@
             FakeServer.Wire old = next(calls);
             if (!when.equals("calling")) {
                 old.text(WATCH + chunk(list(50, true, "a")));
-                assertEquals("FULL 50 [a]", next(heard));
+                assertEquals("SNAPSHOT 50 [a]", next(heard));
                 turn();
             }
             if (when.equals("failed")) {
@@ -336,7 +341,7 @@
                 assertEquals("FAILED", next(heard));
             } else if (when.equals("silent")) {
                 advance(3700);
-                assertEquals("SILENT", next(heard));
+                assertEquals("IDLE_TIMEOUT", next(heard));
             }
             // Twice, and the second before the first was asked; the same address again is no move.
             move(mid);
@@ -350,7 +355,7 @@
             assertFalse(to.requests.get(0).line().contains("after"));
             tryText(old, when.equals("calling") ? WATCH + chunk(list(60, true, "x")) : chunk(list(60, true, "x")));
             w.text(WATCH + chunk(list(7, true, "b")));
-            assertEquals("FULL 7 [b]", next(heard));
+            assertEquals("SNAPSHOT 7 [b]", next(heard));
             assertEquals(0, heard.size());
             assertEquals(0, mid.connections());
         }
--- a/src/test/java/cobaltrack/sidecar/ClientServerTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientServerTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.downstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -17,6 +17,10 @@
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.protocol.ProtocolLimits;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestClient;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.Test;
 
 /** Clients that ask for more than they are due: of connections, of time, or of another's requests. */
@@ -28,7 +32,7 @@
         // Room for 14 connections from clients.
         List<TestClient> silent = new ArrayList<>();
         try (FakeServer e = new FakeServer(OK);
-                TestNode n = new TestNode(32, FakeServer.refusing(), "ask", e.address())) {
+                TestSidecar n = new TestSidecar(32, FakeServer.refusing(), "ask", e.address())) {
             for (int i = 0; i < 100; i++) {
                 silent.add(n.client());
             }
@@ -51,7 +55,7 @@
         // Room for 14, of which three idle ones are not many.
         List<TestClient> staying = new ArrayList<>();
         try (FakeServer e = new FakeServer(OK);
-                TestNode n = new TestNode(32, FakeServer.refusing(), "ask", e.address())) {
+                TestSidecar n = new TestSidecar(32, FakeServer.refusing(), "ask", e.address())) {
             for (int i = 0; i < 6; i++) {
                 staying.add(n.client());
                 assertEquals(200, staying.get(i).ask(TestClient.status("5")).status());
@@ -70,7 +74,7 @@
     @Test
     void halfARequestIsAnsweredInTime() throws Exception {
         try (FakeServer e = new FakeServer(OK);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient head = n.client();
                 TestClient body = n.client()) {
             head.send("GET /api HTTP/1.1\r\nRequest-Id: 1\r\n");
@@ -85,7 +89,7 @@
 
     @Test
     void aHeadWithoutEndIsCutShort() throws Exception {
-        try (TestNode n = new TestNode(FakeServer.refusing());
+        try (TestSidecar n = new TestSidecar(FakeServer.refusing());
                 TestClient c = n.client()) {
             assertEquals(
                     400, c.ask("GET /api HTTP/1.1\r\nX: " + "y".repeat(100_000)).status());
@@ -100,7 +104,7 @@
                     await(release);
                     w.ok("done");
                 });
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client();
                 TestClient other = n.client();
                 TestClient later = n.client()) {
@@ -119,7 +123,7 @@
     @Test
     void aSecondRequestBeforeTheAnswerEndsBoth() throws Exception {
         try (FakeServer e = new FakeServer((r, w) -> {});
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             c.send(TestClient.submit("50"));
             e.awaitRequest();
@@ -135,7 +139,7 @@
     void aRequestThatComesWholeInTheTurnInWhichRoomIsMadeIsAnswered() throws Exception {
         String request = TestClient.submit("50");
         try (FakeServer e = new FakeServer(OK);
-                TestNode n = new TestNode(3, FakeServer.refusing(), "ask", e.address());
+                TestSidecar n = new TestSidecar(3, FakeServer.refusing(), "ask", e.address());
                 TestClient slow = n.client()) {
             slow.send(request.substring(0, request.length() - 1));
             n.await(() -> n.server.connections() == 1);
@@ -161,9 +165,9 @@
 
     @Test
     void anAnswerThatIsBeingWrittenGoesOutWholeThoughMoreIsAsked() throws Exception {
-        String body = "x".repeat(ResponseAssembler.MAX_BODY_BYTES);
+        String body = "x".repeat(ProtocolLimits.MAX_BODY_BYTES);
         try (FakeServer e = new FakeServer((r, w) -> w.ok(body));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 Socket client = new Socket()) {
             n.call(() -> n.listener.pipeline().addFirst(new NarrowAccept()));
             client.setReceiveBufferSize(4096);
@@ -172,7 +176,7 @@
             client.getOutputStream().write(TestClient.submit("50").getBytes(StandardCharsets.UTF_8));
             // It is being written once the request is over; what is asked now is read before the rest of it goes out.
             e.awaitRequest();
-            n.await(() -> n.sidecar.held() == 0);
+            n.await(() -> n.sidecar.pendingCount() == 0);
             long before = n.call(n.activity::socketEvents);
             client.getOutputStream().write("GET".getBytes(StandardCharsets.UTF_8));
             n.await(() -> n.activity.socketEvents() > before);
@@ -184,7 +188,7 @@
     @Test
     void onlyWhatWasCheckedGoesOn() throws Exception {
         try (FakeServer e = new FakeServer(OK);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             c.ask("POST /api HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: 1\r\nRequest-Class: submit\r\n"
                     + "X-Secret: s\r\nContent-Type: text/plain\r\nServer-Load: util=1\r\nConnection: X-Secret\r\n"
@@ -198,14 +202,14 @@
     @Test
     void aDrainDoesNotWaitForWhatWasTurnedAway() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
-        try (TestNode n = new TestNode(FakeServer.refusing());
+        try (TestSidecar n = new TestSidecar(FakeServer.refusing());
                 TestClient c = n.client()) {
             assertEquals(
                     413,
                     c.ask("POST /api HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Class: submit\r\n"
                                     + "Content-Length: 99999999\r\n\r\nbegun")
                             .status());
-            n.group.next().execute(() -> n.server.drain(drained::countDown));
+            n.group.next().execute(() -> n.server.shutDown(drained::countDown));
             assertTrue(drained.await(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
         }
     }
--- a/src/test/java/cobaltrack/sidecar/DescriptorTest.java
+++ b/src/test/java/loadbalancer/downstream/DescriptorTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.downstream;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,6 +9,9 @@
 import java.util.ArrayDeque;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestClient;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -35,7 +38,7 @@
                 "-XX:MaxDirectMemorySize=32m",
                 "-cp",
                 System.getProperty("java.class.path"),
-                "cobaltrack.sidecar.Main",
+                "loadbalancer.Main",
                 "serve");
         b.environment().put("PROXY_CONFIG", file.toString());
         return b.redirectError(dir.resolve("err").toFile()).start();
@@ -146,7 +149,7 @@
         };
         try (FakeServer e = new FakeServer(slowSubmits);
                 FakeServer f = new FakeServer(slowSubmits)) {
-            Process p = start(descriptors, TestNode.config(listen, discovery, told, e.address(), f.address()));
+            Process p = start(descriptors, TestSidecar.config(listen, discovery, told, e.address(), f.address()));
             try {
                 awaitReady(p, port(listen));
                 long atRest = descriptors(p);
@@ -165,7 +168,7 @@
                     awaitDescriptors(p, false, atRest + 40);
                     assertTrue(p.isAlive());
                     assertTrue(Files.readAllLines(dir.resolve("err")).stream()
-                            .noneMatch(l -> l.contains("Error") || l.contains("decision failed")));
+                            .noneMatch(l -> l.contains("Error") || l.contains("policy event failed")));
                 } finally {
                     flood.end();
                 }
--- a/src/test/java/cobaltrack/sidecar/DrainTest.java
+++ b/src/test/java/loadbalancer/downstream/DrainTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.downstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -11,6 +11,9 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestClient;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.Test;
 
 /** Requests that cross the steps of a drain, on real sockets. */
@@ -20,9 +23,9 @@
 
     private static final long DEADLINE_MS = 1000;
 
-    private static TestNode node(String... endpoints) throws Exception {
-        return new TestNode(
-                TestNode.config("127.0.0.1:0", FakeServer.refusing(), 1024, endpoints)
+    private static TestSidecar node(String... endpoints) throws Exception {
+        return new TestSidecar(
+                TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024, endpoints)
                         .replace("\"slo\":1200", "\"slo\":900")
                         .replace("\"slo\":30000", "\"slo\":900")
                         .replace("\"deadline\":60000", "\"deadline\":" + DEADLINE_MS),
@@ -37,11 +40,11 @@
     }
 
     /** Begins a drain whose loop stands still so many milliseconds after that. */
-    private static LateTurn drainWithLateTurn(TestNode n, CountDownLatch drained, long after) {
+    private static LateTurn drainWithLateTurn(TestSidecar n, CountDownLatch drained, long after) {
         LateTurn late = new LateTurn(new CountDownLatch(1), new CountDownLatch(1));
         EventLoop loop = n.group.next();
         loop.execute(() -> {
-            n.server.drain(drained::countDown);
+            n.server.shutDown(drained::countDown);
             loop.schedule(
                     () -> {
                         late.reached.countDown();
@@ -62,10 +65,10 @@
     void aRequestThatCrossedTheCloseOfItsConnectionIsServedOnANewOne() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
-                TestNode n = node(e.address());
+                TestSidecar n = node(e.address());
                 TestClient idle = n.client()) {
             assertEquals("done", idle.ask(TestClient.status("5")).body());
-            n.group.next().execute(() -> n.server.drain(drained::countDown));
+            n.group.next().execute(() -> n.server.shutDown(drained::countDown));
             assertNull(idle.read());
             try (TestClient again = n.client()) {
                 TestClient.Answer a = again.ask(TestClient.status("5"));
@@ -80,11 +83,11 @@
     @Test
     void allConnectionsThatWaitToBeAcceptedInALateTurnAreServedBeforeTheListenerCloses() throws Exception {
         int waiting = 40;
-        long stopAccepting = (long) DrainSchedule.of(DEADLINE_MS).stopAcceptingAt();
+        long stopAccepting = (long) ShutdownSchedule.of(DEADLINE_MS).stopAcceptingAt();
         CountDownLatch drained = new CountDownLatch(1);
         List<TestClient> clients = new ArrayList<>();
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
-                TestNode n = node(e.address())) {
+                TestSidecar n = node(e.address())) {
             LateTurn late = drainWithLateTurn(n, drained, stopAccepting - 1);
             late.await();
             for (int i = 0; i < waiting; i++) {
@@ -108,7 +111,7 @@
     void aRequestThatCameInALateTurnIsAnsweredBeforeIdleConnectionsClose() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
-                TestNode n = node(e.address());
+                TestSidecar n = node(e.address());
                 TestClient c = n.client()) {
             assertEquals("done", c.ask(TestClient.status("5")).body());
             LateTurn late = drainWithLateTurn(n, drained, CLOSING_MS - 1);
--- a/src/test/java/cobaltrack/sidecar/FloodTest.java
+++ b/src/test/java/loadbalancer/downstream/FloodTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.downstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,6 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestClient;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -17,7 +20,7 @@
     private static final int LEAVING = 200;
     private static final long HUGE = 60_000_000;
 
-    private static void assertServed(TestNode n) throws Exception {
+    private static void assertServed(TestSidecar n) throws Exception {
         try (TestClient good = n.client()) {
             assertEquals("done", good.ask(TestClient.pay("50")).body());
         }
@@ -33,7 +36,7 @@
     @ValueSource(strings = {"stay", "close", "half", "reset"})
     void ofManyPipelinedRequestsNoneIsSentOn(String way) throws Exception {
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < PIPELINED; i++) {
@@ -62,7 +65,7 @@
     void whatManyClientsAskAndLeaveAtOnceIsNotSentOnOnceTheyAreGone(String way) throws Exception {
         List<TestClient> clients = new ArrayList<>();
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address())) {
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address())) {
             assertServed(n);
             n.group.next().schedule(() -> {}, 100, TimeUnit.MILLISECONDS).get();
             n.call(() -> {
@@ -74,7 +77,7 @@
                 }
                 return null;
             });
-            n.await(() -> n.server.connections() == 0 && n.sidecar.held() == 0);
+            n.await(() -> n.server.connections() == 0 && n.sidecar.pendingCount() == 0);
             assertServed(n);
             assertEquals(0, flooded(e));
         } finally {
@@ -95,7 +98,7 @@
             })
     void aHugeMessageIsAnsweredWithoutBeingRead(String first, int status) throws Exception {
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             c.send(first.replace("~", "\r\n"));
             long sent = sendUntilStopped(c);
--- a/src/test/java/cobaltrack/sidecar/BusyLoopDetectorTest.java
+++ b/src/test/java/loadbalancer/eventloop/BusyLoopDetectorTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.eventloop;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/cobaltrack/sidecar/CoarseTimerIoHandlerTest.java
+++ b/src/test/java/loadbalancer/eventloop/CoarseTimerIoHandlerTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.eventloop;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,6 +6,8 @@
 import io.netty.channel.EventLoop;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
@@ -18,7 +20,7 @@
     private static final long TIMER_NANOS = 3_370_000;
 
     private final LoopActivity activity = new LoopActivity();
-    private final EventLoop loop = Main.eventLoop(activity);
+    private final EventLoop loop = EventLoops.newEventLoop(activity);
 
     @AfterEach
     void stop() {
@@ -32,7 +34,7 @@
 
     @Test
     void anIdleSidecarTakesAFewTurnsForEachTimer() throws Exception {
-        try (TestNode node = new TestNode("127.0.0.1:1")) {
+        try (TestSidecar node = new TestSidecar("127.0.0.1:1")) {
             long turns = turnsOfTimers(node.group.next(), node.activity);
             assertTrue(turns <= TIMERS * TURNS_PER_TIMER, turns + " turns");
         }
--- a/src/test/java/cobaltrack/sidecar/ThreadProcessorTimeTest.java
+++ b/src/test/java/loadbalancer/eventloop/ThreadProcessorTimeTest.java
@@ -1,10 +1,11 @@
-package cobaltrack.sidecar;
+package loadbalancer.eventloop;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
+import loadbalancer.testing.FakeServer;
 import org.junit.jupiter.api.Test;
 
 class ThreadProcessorTimeTest {
