--- a/src/test/java/cobaltrack/sidecar/ArchiveTest.java
+++ b/src/test/java/loadbalancer/lifecycle/ArchiveTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -26,6 +26,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
+import loadbalancer.Main;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestClient;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -51,7 +55,7 @@
         String told = Files.readString(errors);
         assertEquals(0, training.exitValue(), told);
         assertFalse(told.contains("left out"), told);
-        assertTrue(Files.exists(dir.resolve("cobaltrack.jsa")));
+        assertTrue(Files.exists(dir.resolve("load-balancing-sidecar.jsa")));
         rarePathsLoadNothing("push", jar);
         rarePathsLoadNothing("ask", jar);
     }
@@ -87,7 +91,7 @@
         ProcessBuilder b = new ProcessBuilder(
                 "/bin/sh",
                 "-c",
-                command.replace("target/cobaltrack.jar", jar.toString())
+                command.replace("target/load-balancing-sidecar.jar", jar.toString())
                         .replace("target/", dir + "/")
                         .replaceFirst("java ", java + " "));
         b.environment().put("TMPDIR", dir.toString());
@@ -102,14 +106,13 @@
     // A class path with folders has no archive: the classes under test and their libraries in one file, as the
     // package has them.
     private Path jar() throws Exception {
-        Path jar = dir.resolve("cobaltrack.jar");
+        Path jar = dir.resolve("load-balancing-sidecar.jar");
         Path classes = Path.of(
                 Main.class.getProtectionDomain().getCodeSource().getLocation().toURI());
         Set<String> seen = new HashSet<>();
         try (JarOutputStream out = new JarOutputStream(Files.newOutputStream(jar))) {
             out.putNextEntry(new JarEntry(JarFile.MANIFEST_NAME));
-            out.write(
-                    "Manifest-Version: 1.0\nMain-Class: cobaltrack.sidecar.Main\n\n".getBytes(StandardCharsets.UTF_8));
+            out.write("Manifest-Version: 1.0\nMain-Class: loadbalancer.Main\n\n".getBytes(StandardCharsets.UTF_8));
             if (Files.isDirectory(classes)) {
                 try (Stream<Path> files = Files.walk(classes)) {
                     for (Path file : files.filter(Files::isRegularFile).toList()) {
@@ -207,7 +210,7 @@
         private void configure(String discovery, String... known) throws IOException {
             Files.writeString(
                     config,
-                    TestNode.config(listen, discovery, 1024, known)
+                    TestSidecar.config(listen, discovery, 1024, known)
                             .replace("\"discovery\":\"ask\"", "\"discovery\":\"" + how + "\""));
         }
 
@@ -223,7 +226,7 @@
                         dir.resolve("run-err"));
                 try {
                     registry.awaitWatch();
-                    registry.tell(TestNode.list(++seq, true) + "\n");
+                    registry.tell(TestSidecar.list(++seq, true) + "\n");
                     awaitReady(p);
                     int before = Files.readAllLines(loaded).size();
                     answers();
@@ -259,7 +262,7 @@
             FakeServer e = new FakeServer(script);
             endpoints.add(e);
             String name = "e" + endpoints.size();
-            registry.tell(TestNode.list(++seq, true, TestNode.host(name, e.address(), "ready")) + "\n");
+            registry.tell(TestSidecar.list(++seq, true, TestSidecar.host(name, e.address(), "ready")) + "\n");
             for (String request : requests.split(" ")) {
                 int seen = e.requests.size();
                 for (int i = 0; i < TRIES && e.requests.size() == seen; i++) {
@@ -331,7 +334,8 @@
         }
 
         private void refusing(String requests) throws Exception {
-            registry.tell(TestNode.list(++seq, true, TestNode.host("none", FakeServer.refusing(), "ready")) + "\n");
+            registry.tell(
+                    TestSidecar.list(++seq, true, TestSidecar.host("none", FakeServer.refusing(), "ready")) + "\n");
             for (String request : requests.split(" ")) {
                 for (int i = 0; i < TRIES && ask(request).status() == 200; i++) {}
                 ask(request);
@@ -341,7 +345,7 @@
         private void leaving() throws Exception {
             FakeServer silent = new FakeServer((r, w) -> {});
             endpoints.add(silent);
-            registry.tell(TestNode.list(++seq, true, TestNode.host("silent", silent.address(), "ready")) + "\n");
+            registry.tell(TestSidecar.list(++seq, true, TestSidecar.host("silent", silent.address(), "ready")) + "\n");
             for (int i = 0; i < TRIES && silent.requests.isEmpty(); i++) {
                 try (TestClient c = new TestClient(port)) {
                     c.send(TestClient.submit("0.900"));
@@ -399,14 +403,14 @@
 
         private void lists(Registry second, Process p) throws Exception {
             FakeServer e = meet("get", (r, w) -> w.ok("done"));
-            String host = TestNode.host("kept", e.address(), "ready");
+            String host = TestSidecar.host("kept", e.address(), "ready");
             registry.tell(
-                    TestNode.list(++seq, true, host).replace(",", " ,\n  ").replace("{", "{\r\n\t") + "\n");
-            registry.tellByteByByte(TestNode.list(++seq, true, host) + "\n");
+                    TestSidecar.list(++seq, true, host).replace(",", " ,\n  ").replace("{", "{\r\n\t") + "\n");
+            registry.tellByteByByte(TestSidecar.list(++seq, true, host) + "\n");
             registry.tell("\n");
-            registry.tell(TestNode.list(++seq, false, TestNode.host("kept", e.address(), "draining")) + "\n");
-            registry.tell(TestNode.list(++seq, false, TestNode.host("kept", e.address(), "gone")) + "\n");
-            registry.tell(TestNode.list(++seq, false, host, host.replace("kept", "new")) + "\n");
+            registry.tell(TestSidecar.list(++seq, false, TestSidecar.host("kept", e.address(), "draining")) + "\n");
+            registry.tell(TestSidecar.list(++seq, false, TestSidecar.host("kept", e.address(), "gone")) + "\n");
+            registry.tell(TestSidecar.list(++seq, false, host, host.replace("kept", "new")) + "\n");
             int asked = e.requests.size();
             for (int i = 0; i < TRIES && e.requests.size() == asked; i++) {
                 ask("get");
@@ -417,8 +421,8 @@
                     "[1]\n",
                     "not json\n",
                     "{\"seq\":1}\n",
-                    TestNode.list(1, false, host) + "\n",
-                    TestNode.list(++seq, true, "{\"host\":1}") + "\n");
+                    TestSidecar.list(1, false, host) + "\n",
+                    TestSidecar.list(++seq, true, "{\"host\":1}") + "\n");
             for (String bad : how.equals("ask") ? spoilt.subList(0, 1) : spoilt) {
                 registry.tell(bad);
                 registry.awaitWatch();
@@ -439,7 +443,7 @@
             hangup(p, second.server.address());
             registry = second;
             registry.awaitWatch();
-            registry.tell(TestNode.list(1, true, host) + "\n");
+            registry.tell(TestSidecar.list(1, true, host) + "\n");
         }
 
         private void hangup(Process p, String... discovery) throws Exception {
--- a/src/test/java/cobaltrack/sidecar/ProcessTest.java
+++ b/src/test/java/loadbalancer/lifecycle/ProcessTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -16,6 +16,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestClient;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -36,7 +39,7 @@
         List<String> line = new ArrayList<>();
         line.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         line.addAll(List.of(options));
-        line.addAll(List.of("-cp", System.getProperty("java.class.path"), "cobaltrack.sidecar.Main", command));
+        line.addAll(List.of("-cp", System.getProperty("java.class.path"), "loadbalancer.Main", command));
         ProcessBuilder b = new ProcessBuilder(line);
         b.environment().remove("PROXY_CONFIG");
         if (config != null) {
@@ -56,10 +59,11 @@
         Path errors = dir.resolve("err");
         Path twice = Files.writeString(
                 dir.resolve("d.json"),
-                TestNode.config("127.0.0.1:0", FakeServer.refusing(), 1024).replace("\"submit\"", "\"status\""));
+                TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024).replace("\"submit\"", "\"status\""));
         Path late = Files.writeString(
                 dir.resolve("e.json"),
-                TestNode.config("127.0.0.1:0", FakeServer.refusing(), 1024).replace("\"slo\":1000", "\"slo\":90000"));
+                TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024)
+                        .replace("\"slo\":1000", "\"slo\":90000"));
         for (Path config : new Path[] {null, dir.resolve("absent.json"), malformed, twice, late}) {
             Process p = start(config, errors);
             assertNotEquals(0, exit(p));
@@ -93,7 +97,7 @@
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Path config = Files.writeString(
                     dir.resolve("c.json"),
-                    TestNode.config("127.0.0.1:" + taken.getLocalPort(), FakeServer.refusing(), 1024));
+                    TestSidecar.config("127.0.0.1:" + taken.getLocalPort(), FakeServer.refusing(), 1024));
             Path errors = dir.resolve("err");
             assertNotEquals(0, exit(start(config, errors)));
             assertEquals(1, Files.readAllLines(errors).size(), Files.readString(errors));
@@ -109,7 +113,7 @@
         int port = Integer.parseInt(listen.substring(listen.indexOf(':') + 1));
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"))) {
             Path config = Files.writeString(
-                    dir.resolve("c.json"), TestNode.config(listen, FakeServer.refusing(), 1024, e.address()));
+                    dir.resolve("c.json"), TestSidecar.config(listen, FakeServer.refusing(), 1024, e.address()));
             // With the JVM's own files off, as in the deploy file.
             Process p = builder(
                             "serve", config, dir.resolve("err"), "-XX:-UsePerfData", "-Djava.io.tmpdir=" + temporary)
@@ -147,7 +151,7 @@
             Process p = start(
                     Files.writeString(
                             dir.resolve("c.json"),
-                            TestNode.config(listen, FakeServer.refusing(), 1024, e.address()),
+                            TestSidecar.config(listen, FakeServer.refusing(), 1024, e.address()),
                             StandardCharsets.UTF_8),
                     dir.resolve("err"));
             try (TestClient c = connect(p, port);
@@ -177,12 +181,12 @@
                 FakeServer d = new FakeServer(watch);
                 FakeServer moved = new FakeServer(watch)) {
             String listen = FakeServer.refusing();
-            Path config =
-                    Files.writeString(dir.resolve("c.json"), TestNode.config(listen, d.address(), 1024, e.address()));
+            Path config = Files.writeString(
+                    dir.resolve("c.json"), TestSidecar.config(listen, d.address(), 1024, e.address()));
             Process p = start(config, dir.resolve("err"));
             try {
                 d.awaitRequest();
-                Files.writeString(config, TestNode.config(listen, moved.address(), 1024));
+                Files.writeString(config, TestSidecar.config(listen, moved.address(), 1024));
                 for (int i = 0; i < 3; i++) {
                     new ProcessBuilder("kill", "-HUP", Long.toString(p.pid()))
                             .start()
@@ -204,12 +208,12 @@
     void whatTheKillWouldFindIsFailedBeforeIt() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (FakeServer silent = new FakeServer((r, w) -> {});
-                TestNode n = new TestNode(FakeServer.refusing(), silent.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), silent.address());
                 TestClient c = n.client()) {
             // Its client waits far longer than a stopped process may live.
             c.send(TestClient.submit("60"));
             silent.awaitRequest();
-            n.group.next().execute(() -> n.server.drain(drained::countDown));
+            n.group.next().execute(() -> n.server.shutDown(drained::countDown));
             assertEquals(502, c.read().status());
             assertNull(c.read());
             assertTrue(drained.await(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
@@ -219,14 +223,14 @@
     @Test
     void aRequestThatComesWholeOnlyAtTheEndOfADrainIsAnsweredToo() throws Exception {
         try (FakeServer silent = new FakeServer((r, w) -> {});
-                TestNode n = new TestNode(FakeServer.refusing(), silent.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), silent.address());
                 TestClient held = n.client();
                 TestClient half = n.client()) {
             String request = TestClient.submit("60");
             half.send(request.substring(0, request.length() - 1));
             held.send(TestClient.submit("60"));
             silent.awaitRequest();
-            n.group.next().execute(() -> n.server.drain(() -> {}));
+            n.group.next().execute(() -> n.server.shutDown(() -> {}));
             assertEquals(502, held.read().status());
             half.send(request.substring(request.length() - 1));
             TestClient.Answer last = half.read();
@@ -246,16 +250,16 @@
             String[] hosts = new String[servers];
             String[] draining = new String[servers / 2];
             for (int i = 0; i < servers; i++) {
-                hosts[i] = TestNode.host("server-with-a-long-name-" + i, e.address(), "ready");
+                hosts[i] = TestSidecar.host("server-with-a-long-name-" + i, e.address(), "ready");
             }
             for (int i = 0; i < draining.length; i++) {
-                draining[i] = TestNode.host("server-with-a-long-name-" + i, e.address(), "draining");
+                draining[i] = TestSidecar.host("server-with-a-long-name-" + i, e.address(), "draining");
             }
             try (FakeServer d = new FakeServer((r, w) -> {
                 w.text("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 for (int i = 0; i < 20; i++) {
-                    w.chunk(TestNode.list(50 + 2 * i, true, hosts).replace(",\"", ",\n        \"") + "\n");
-                    w.chunk(TestNode.list(51 + 2 * i, false, draining) + "\n");
+                    w.chunk(TestSidecar.list(50 + 2 * i, true, hosts).replace(",\"", ",\n        \"") + "\n");
+                    w.chunk(TestSidecar.list(51 + 2 * i, false, draining) + "\n");
                 }
                 told.countDown();
             })) {
@@ -265,7 +269,7 @@
                 Process p = start(
                         "serve",
                         Files.writeString(
-                                dir.resolve("c.json"), TestNode.config(listen, d.address(), 1024, e.address())),
+                                dir.resolve("c.json"), TestSidecar.config(listen, d.address(), 1024, e.address())),
                         errors,
                         "-XX:+UseSerialGC",
                         "-Xms48m",
@@ -294,12 +298,12 @@
                 FakeServer moved = new FakeServer(watch)) {
             String listen = FakeServer.refusing();
             Path config = Files.writeString(
-                    dir.resolve("c.json"), TestNode.config(listen, d.address(), 1024, hangs.address()));
+                    dir.resolve("c.json"), TestSidecar.config(listen, d.address(), 1024, hangs.address()));
             Process p = start(config, dir.resolve("err"));
             List<TestClient> clients = new ArrayList<>();
             try {
                 d.awaitRequest();
-                Files.writeString(config, TestNode.config(listen, moved.address(), 1024));
+                Files.writeString(config, TestSidecar.config(listen, moved.address(), 1024));
                 for (int i = 0; i < 6; i++) {
                     clients.add(connect(p, Integer.parseInt(listen.substring(listen.indexOf(':') + 1))));
                     clients.get(i).send(TestClient.submit("60"));
@@ -340,7 +344,7 @@
     void oldAndNewConnectionsAreServedForAWhileAfterTheStop() throws Exception {
         CountDownLatch drained = new CountDownLatch(1);
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient before = n.client()) {
             assertEquals(200, before.ask(TestClient.status("5")).status());
             // In one turn of the loop, so that they come in time however slow the machine is.
@@ -348,7 +352,7 @@
             try (TestClient c = n.group
                     .next()
                     .submit(() -> {
-                        n.server.drain(drained::countDown);
+                        n.server.shutDown(drained::countDown);
                         before.send(again);
                         return n.client();
                     })
--- a/src/test/java/cobaltrack/sidecar/WarmupTest.java
+++ b/src/test/java/loadbalancer/lifecycle/WarmupTest.java
@@ -1,15 +1,19 @@
-package cobaltrack.sidecar;
+package loadbalancer.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
+import loadbalancer.configuration.Configuration;
+import loadbalancer.eventloop.Clock;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.Test;
 
 /** What runs before the sidecar is ready. */
 class WarmupTest {
     @Test
     void requestsAreServedThroughAllParts() throws Exception {
-        Config config = Config.parse(TestNode.config("127.0.0.1:0", "127.0.0.1:1", 1024), new ObjectMapper());
+        Configuration config =
+                Configuration.parse(TestSidecar.config("127.0.0.1:0", "127.0.0.1:1", 1024), new ObjectMapper());
         assertTrue(Warmup.run(config.settings()) > 0);
     }
 
--- a/src/test/java/cobaltrack/ColdFleetTest.java
+++ b/src/test/java/loadbalancer/policy/ColdFleetTest.java
@@ -1,4 +1,4 @@
-package cobaltrack;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -22,11 +22,11 @@
  * multiple of what it can serve then.
  */
 class ColdFleetTest {
-    private static final Contract.RequestClass KIND =
-            new Contract.RequestClass("k", 1, 0, 800, 2000, Contract.Effect.SAFE, Contract.Group.ALL, 5000, false);
-    private static final Contract.RequestClass KEYED =
-            new Contract.RequestClass("k", 1, 0, 800, 2000, Contract.Effect.KEYED, Contract.Group.ZONE, 5000, false);
-    private static final Contract.Obligations RULE = new Contract.Obligations(1000, 4, 2000, 0.2, 20_000, 10_000);
+    private static final RequestClass KIND =
+            new RequestClass("k", 1, 0, 800, 2000, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 5000, false);
+    private static final RequestClass KEYED =
+            new RequestClass("k", 1, 0, 800, 2000, Idempotency.WITH_KEY, DeduplicationScope.ZONE, 5000, false);
+    private static final OperatorRules RULE = new OperatorRules(1000, 4, 2000, 0.2, 20_000, 10_000);
     private static final int SEEDS = Integer.getInteger("coldfleet.seeds", 5);
     private static final double COLD_AT = 15_000;
     private static final double ROLL = 300;
@@ -41,7 +41,7 @@
             double load,
             int cold,
             Trouble trouble,
-            Contract.Obligations rule) {
+            OperatorRules rule) {
         static Scenario of(String name, int sidecars, int servers, double rate, double load, int cold, String what) {
             return new Scenario(name, sidecars, servers, rate, load, cold, Trouble.of(what), RULE);
         }
@@ -55,7 +55,7 @@
                     load,
                     cold,
                     trouble,
-                    new Contract.Obligations(1000, fallMultiple, fallTime, coldShare, coldTime, 10_000));
+                    new OperatorRules(1000, fallMultiple, fallTime, coldShare, coldTime, 10_000));
         }
 
         @Override
@@ -183,7 +183,7 @@
         private final PriorityQueue<Event> events = new PriorityQueue<>();
         private final List<Sidecar> sidecars = new ArrayList<>();
         private final List<Machine> machines = new ArrayList<>();
-        private final Contract.Settings settings;
+        private final PolicySettings settings;
         private double now;
         private long ids;
 
@@ -198,14 +198,14 @@
             this.s = s;
             trouble = s.trouble();
             random = new Random(seed);
-            Contract.Settings one = Rig.settings(false, trouble.resets() ? KEYED : KIND);
-            settings = new Contract.Settings(
+            PolicySettings one = Rig.settings(false, trouble.resets() ? KEYED : KIND);
+            settings = new PolicySettings(
                     one.classes(),
                     one.tenants(),
                     1,
                     one.limits(),
                     s.rule(),
-                    Contract.Reporting.NONE,
+                    LoadReporting.NONE,
                     false,
                     s.sidecars(),
                     0);
@@ -221,13 +221,13 @@
             events.add(new Event(Math.max(now, time), ids++, what));
         }
 
-        private Contract.Server entry(Machine m) {
-            return new Contract.Server(
-                    m.id, Contract.Standing.UP, 1, "z" + machines.indexOf(m) / 4, 0, Math.max(0, m.startedAt));
+        private Endpoint entry(Machine m) {
+            return new Endpoint(
+                    m.id, EndpointStatus.READY, 1, "z" + machines.indexOf(m) / 4, 0, Math.max(0, m.startedAt));
         }
 
         Fleet run() {
-            List<Contract.Server> before = machines.stream()
+            List<Endpoint> before = machines.stream()
                     .filter(m -> !trouble.join() || !cold().contains(m))
                     .map(this::entry)
                     .toList();
@@ -235,7 +235,7 @@
             for (int i = 0; i < sidecars.size(); i++) {
                 Sidecar c = sidecars.get(i);
                 c.module.start(0);
-                c.module.servers(0, Contract.ListKind.FULL, before);
+                c.module.endpointsChanged(0, WatchEvent.SNAPSHOT, before);
                 // A sixth of an uneven fleet has four times the mean, the rest two fifths of it.
                 arrive(c, mean * (!trouble.uneven() ? 1 : i % 6 == 0 ? 4 : 0.4));
             }
@@ -243,11 +243,11 @@
                 Machine m = cold().get(i);
                 at(COLD_AT + (trouble.roll() ? i * ROLL : 0), () -> {
                     m.startedAt = now;
-                    List<Contract.Server> entry = List.of(entry(m));
-                    sidecars.forEach(c -> c.module.servers(now, Contract.ListKind.CHANGES, entry));
+                    List<Endpoint> entry = List.of(entry(m));
+                    sidecars.forEach(c -> c.module.endpointsChanged(now, WatchEvent.DELTA, entry));
                 });
             }
-            while (events.peek().at() < COLD_AT + s.rule().coldTime()) {
+            while (events.peek().at() < COLD_AT + s.rule().slowStartMillis()) {
                 Event e = events.poll();
                 now = e.at();
                 e.what().run();
@@ -268,7 +268,7 @@
 
         private double times() {
             double since = now - COLD_AT;
-            if (trouble.idle() && since > -8000 && since < s.rule().coldTime() / 4) {
+            if (trouble.idle() && since > -8000 && since < s.rule().slowStartMillis() / 4) {
                 return 0;
             }
             return since >= 0 && since % trouble.each() < trouble.lasts() ? trouble.burst() : 1;
@@ -277,8 +277,10 @@
         private double warmth(double age) {
             return Math.min(
                     1,
-                    s.rule().coldShare()
-                            + (1 - s.rule().coldShare()) * age / s.rule().coldTime());
+                    s.rule().slowStartInitialFraction()
+                            + (1 - s.rule().slowStartInitialFraction())
+                                    * age
+                                    / s.rule().slowStartMillis());
         }
 
         // Spread over the fleet by a step that shares no factor with its size.
@@ -307,17 +309,21 @@
 
         /** The greatest share that a cold server got of what it bears, N being the least of the window. */
         double worst() {
-            Contract.Obligations o = settings.obligations();
+            OperatorRules o = settings.rules();
             double worst = 0;
             for (Machine m : cold()) {
                 List<Double> sent =
                         m.sent.stream().filter(t -> t >= m.startedAt).toList();
                 for (int from = 0, to = 0; to < sent.size(); to++) {
-                    while (sent.get(from) <= sent.get(to) - o.fallTime()) {
+                    while (sent.get(from) <= sent.get(to) - o.overloadWindowMillis()) {
                         from++;
                     }
-                    double begin = Math.max(m.startedAt, sent.get(to) - o.fallTime());
-                    double n = o.fallMultiple() * s.rate() * warmth(begin - m.startedAt) * o.fallTime() / 1000;
+                    double begin = Math.max(m.startedAt, sent.get(to) - o.overloadWindowMillis());
+                    double n = o.overloadMultiple()
+                            * s.rate()
+                            * warmth(begin - m.startedAt)
+                            * o.overloadWindowMillis()
+                            / 1000;
                     worst = Math.max(worst, (to - from + 1) / (n + 2 * Math.sqrt(n) + 2));
                 }
             }
@@ -326,52 +332,52 @@
 
         /** What the cold servers got from some seconds on, against what they got when warm for what they serve. */
         double part() {
-            double end = COLD_AT + s.rule().coldTime();
+            double end = COLD_AT + s.rule().slowStartMillis();
             double cold = 0;
             double warm = 0;
             for (Machine m : cold()) {
                 cold += m.sent.stream().filter(t -> t >= COLD_AT + SETTLED).count();
                 warm += m.sent.stream().filter(t -> t >= 5000 && t < COLD_AT).count();
             }
-            double fraction = (warmth(SETTLED) + warmth(s.rule().coldTime())) / 2;
+            double fraction = (warmth(SETTLED) + warmth(s.rule().slowStartMillis())) / 2;
             return cold / (warm / (COLD_AT - 5000) * fraction * (end - COLD_AT - SETTLED));
         }
 
-        private final class Sidecar implements Contract.Actions {
-            private final Decide module;
+        private final class Sidecar implements PolicyActions {
+            private final LossThrottlingPolicy module;
             private final Map<Long, Integer> attempts = new HashMap<>();
 
             Sidecar(long seed) {
-                module = new Decide(settings, seed, this);
+                module = new LossThrottlingPolicy(settings, seed, this);
             }
 
             void ask() {
-                module.request(now, new Contract.Request(ids++, 0, -1, KIND.deadline(), false));
+                module.requestArrived(now, new PolicyRequest(ids++, 0, -1, KIND.deadlineMillis(), false));
             }
 
             @Override
-            public void send(Contract.Request r, String server, double within) {
+            public void forward(PolicyRequest r, String server, double within) {
                 Machine m = machines.get(Integer.parseInt(server.substring(1)));
                 m.sent.add(now);
                 double sentAt = now;
-                int attempt = attempts.merge(r.id, 1, Integer::sum) - 1;
+                int attempt = attempts.merge(r.id(), 1, Integer::sum) - 1;
                 boolean[] ended = new boolean[1];
-                Consumer<Contract.Outcome> end = o -> {
+                Consumer<AttemptOutcome> end = o -> {
                     if (!ended[0]) {
                         ended[0] = true;
-                        module.outcome(now, r, attempt, o, now - sentAt, o == Contract.Outcome.SERVED, null);
+                        module.attemptEnded(now, r, attempt, o, now - sentAt, o == AttemptOutcome.SUCCESS, null);
                     }
                 };
                 if (m.busy + m.queue.size() >= 4 * slots() + 4) {
-                    at(now + 2, () -> end.accept(Contract.Outcome.FULL));
+                    at(now + 2, () -> end.accept(AttemptOutcome.REJECTED));
                     return;
                 }
-                at(now + (within > 0 ? within : KIND.deadline()), () -> end.accept(Contract.Outcome.TIMED_OUT));
+                at(now + (within > 0 ? within : KIND.deadlineMillis()), () -> end.accept(AttemptOutcome.TIMED_OUT));
                 if (trouble.resets() && m.startedAt < 0 && now > COLD_AT && (now - COLD_AT) % 5000 < 1000) {
-                    at(now + 20, () -> end.accept(Contract.Outcome.RESET));
+                    at(now + 20, () -> end.accept(AttemptOutcome.RESET));
                     return;
                 }
-                Runnable work = () -> take(m, () -> end.accept(Contract.Outcome.SERVED));
+                Runnable work = () -> take(m, () -> end.accept(AttemptOutcome.SUCCESS));
                 if (m.busy < slots()) {
                     work.run();
                 } else {
@@ -380,31 +386,31 @@
             }
 
             @Override
-            public void refuse(Contract.Request r, double retryAfter) {
+            public void reject(PolicyRequest r, double retryAfter) {
                 if (trouble.again() && random.nextDouble() < 0.8) {
                     at(now + retryAfter, this::ask);
                 }
             }
 
             @Override
-            public void wake(double time) {
+            public void scheduleWake(double time) {
                 at(time, () -> module.wake(now));
             }
 
             @Override
-            public void cancel(Contract.Request r, int attempt) {}
+            public void cancelAttempt(PolicyRequest r, int attempt) {}
 
             @Override
-            public void fail(Contract.Request r) {}
+            public void fail(PolicyRequest r) {}
 
             @Override
             public void probe(String server) {}
 
             @Override
-            public void watchServers() {}
+            public void watchEndpoints() {}
 
             @Override
-            public void tellPeers(byte[] text) {}
+            public void broadcast(byte[] text) {}
 
             @Override
             public void log(String line) {}
--- a/src/test/java/cobaltrack/ControllerTest.java
+++ b/src/test/java/loadbalancer/policy/ControllerTest.java
@@ -1,4 +1,4 @@
-package cobaltrack;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,31 +14,31 @@
 
 /** The percentage, the draw, the worth order and the exceptions, seen through the servers chosen. */
 class ControllerTest {
-    private static final Contract.RequestClass HIGH = Rig.kind("high", 6, Contract.Effect.SAFE, Contract.Group.ALL);
-    private static final Contract.RequestClass LOW = Rig.kind("low", 2, Contract.Effect.SAFE, Contract.Group.ALL);
+    private static final RequestClass HIGH = Rig.kind("high", 6, Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+    private static final RequestClass LOW = Rig.kind("low", 2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
 
-    private static Rig rig(int servers, Contract.RequestClass... classes) {
+    private static Rig rig(int servers, RequestClass... classes) {
         Rig rig = new Rig(Rig.settings(false, classes), 11);
         rig.module.start(0);
-        rig.module.servers(0, Contract.ListKind.FULL, Rig.fleet(servers));
+        rig.module.endpointsChanged(0, WatchEvent.SNAPSHOT, Rig.fleet(servers));
         return rig;
     }
 
     /** Sends one request each {@code gap} and ends it as the script says; returns the count of sends by server. */
     private static Map<String, Integer> drive(
-            Rig rig, double from, double to, double gap, Function<String, Contract.Outcome> script) {
+            Rig rig, double from, double to, double gap, Function<String, AttemptOutcome> script) {
         Map<String, Integer> count = new HashMap<>();
         int i = 0;
         for (double now = from; now < to; now += gap, i++) {
             rig.runTo(now);
-            Contract.Request r = rig.ask(now, i % rig.classCount());
-            while (!rig.answers.containsKey(r.id) && rig.sends(r) > 0) {
+            PolicyRequest r = rig.ask(now, i % rig.classCount());
+            while (!rig.answers.containsKey(r.id()) && rig.sends(r) > 0) {
                 String s = rig.lastServer(r);
-                Contract.Outcome o = script.apply(s);
+                AttemptOutcome o = script.apply(s);
                 count.merge(s, 1, Integer::sum);
                 int before = rig.sends(r);
-                rig.end(now, r, o, o == Contract.Outcome.SERVED ? 50 : 1);
-                if (o == Contract.Outcome.SERVED || rig.sends(r) == before) {
+                rig.end(now, r, o, o == AttemptOutcome.SUCCESS ? 50 : 1);
+                if (o == AttemptOutcome.SUCCESS || rig.sends(r) == before) {
                     break;
                 }
             }
@@ -49,13 +49,13 @@
     @Test
     void aServerThatRefusesIsShedAndTriedAgainWhenItRecovers() {
         Rig rig = rig(4, HIGH);
-        drive(rig, 1, 3000, 5, s -> Contract.Outcome.SERVED);
+        drive(rig, 1, 3000, 5, s -> AttemptOutcome.SUCCESS);
         Map<String, Integer> bad =
-                drive(rig, 3000, 9000, 5, s -> s.equals("s2") ? Contract.Outcome.FULL : Contract.Outcome.SERVED);
+                drive(rig, 3000, 9000, 5, s -> s.equals("s2") ? AttemptOutcome.REJECTED : AttemptOutcome.SUCCESS);
         assertTrue(bad.getOrDefault("s2", 0) < bad.get("s1") / 4, "shed: " + bad);
         assertTrue(bad.getOrDefault("s2", 0) > 0, "still tried now and then: " + bad);
-        drive(rig, 9000, 19000, 5, s -> Contract.Outcome.SERVED);
-        Map<String, Integer> good = drive(rig, 19000, 25000, 5, s -> Contract.Outcome.SERVED);
+        drive(rig, 9000, 19000, 5, s -> AttemptOutcome.SUCCESS);
+        Map<String, Integer> good = drive(rig, 19000, 25000, 5, s -> AttemptOutcome.SUCCESS);
         assertTrue(good.get("s2") > good.get("s1") / 2, "back without a restart: " + good);
     }
 
@@ -63,11 +63,11 @@
     void withAllServersRefusingTheBestWorthStillGetsThroughMost() {
         Rig rig = rig(4, HIGH, LOW);
         int[] n = new int[1];
-        drive(rig, 1, 20000, 5, s -> n[0]++ % 3 == 0 ? Contract.Outcome.SERVED : Contract.Outcome.FULL);
+        drive(rig, 1, 20000, 5, s -> n[0]++ % 3 == 0 ? AttemptOutcome.SUCCESS : AttemptOutcome.REJECTED);
         int[] sent = new int[2];
-        for (Contract.Request r : rig.requests.values()) {
-            if (r.id > 2000 && rig.sends(r) > 0) {
-                sent[r.classIndex]++;
+        for (PolicyRequest r : rig.requests.values()) {
+            if (r.id() > 2000 && rig.sends(r) > 0) {
+                sent[r.classIndex()]++;
             }
         }
         assertTrue(sent[0] > 5 * Math.max(1, sent[1]) / 2, "high " + sent[0] + " low " + sent[1]);
@@ -77,7 +77,7 @@
     @Test
     void aRefusalSaysWhenToComeBack() {
         Rig rig = rig(4, HIGH);
-        drive(rig, 1, 6000, 5, s -> Contract.Outcome.FULL);
+        drive(rig, 1, 6000, 5, s -> AttemptOutcome.REJECTED);
         assertTrue(rig.answers.containsValue("refuse"));
         assertTrue(rig.lastRetryAfter > 0 && rig.lastRetryAfter <= 2000);
     }
@@ -85,14 +85,14 @@
     @Test
     void aServerWhoseAnswersStayOutIsPassedBeforeTheFirstTimeOut() {
         Rig rig = rig(4, HIGH);
-        drive(rig, 1, 3000, 5, s -> Contract.Outcome.SERVED);
+        drive(rig, 1, 3000, 5, s -> AttemptOutcome.SUCCESS);
         Map<String, Integer> count = new HashMap<>();
         for (double now = 3000; now < 3200; now += 5) {
-            Contract.Request r = rig.ask(now, 0);
+            PolicyRequest r = rig.ask(now, 0);
             String s = rig.lastServer(r);
             count.merge(s, 1, Integer::sum);
             if (!s.equals("s3")) {
-                rig.end(now, r, Contract.Outcome.SERVED, 5);
+                rig.end(now, r, AttemptOutcome.SUCCESS, 5);
             }
         }
         assertTrue(count.getOrDefault("s3", 0) <= 3, "crowding turns traffic away at once: " + count);
@@ -101,7 +101,7 @@
     @Test
     void whatIsOutIsBoundedEvenWhenEveryServerGoesSilent() {
         Rig rig = rig(4, HIGH);
-        drive(rig, 1, 3000, 5, s -> Contract.Outcome.SERVED);
+        drive(rig, 1, 3000, 5, s -> AttemptOutcome.SUCCESS);
         int sent = 0;
         for (double now = 3000; now < 5000; now += 5) {
             rig.runTo(now);
@@ -119,13 +119,13 @@
     }
 
     private static Rig inAFleetOf(int servers, int sidecars) {
-        Contract.Settings s = Rig.settings(false, HIGH);
+        PolicySettings s = Rig.settings(false, HIGH);
         Rig rig = new Rig(
-                new Contract.Settings(
-                        s.classes(), s.tenants(), 1, s.limits(), s.obligations(), s.reporting(), false, sidecars, 0),
+                new PolicySettings(
+                        s.classes(), s.tenants(), 1, s.limits(), s.rules(), s.reporting(), false, sidecars, 0),
                 11);
         rig.module.start(0);
-        rig.module.servers(0, Contract.ListKind.FULL, Rig.fleet(servers));
+        rig.module.endpointsChanged(0, WatchEvent.SNAPSHOT, Rig.fleet(servers));
         return rig;
     }
 
@@ -136,7 +136,7 @@
         Set<String> jam = new HashSet<>();
         for (double now = 6000; now < 16000; now += 100) {
             rig.runTo(now);
-            Contract.Request r = rig.ask(now, 0);
+            PolicyRequest r = rig.ask(now, 0);
             if (rig.sends(r) > 0) {
                 jam.add(rig.lastServer(r));
             }
@@ -148,13 +148,12 @@
     void manySidecarsDoNotAskTheListServiceAtOnce() {
         int early = 0;
         for (int seed = 0; seed < 100; seed++) {
-            Contract.Settings s = Rig.settings(false, HIGH);
+            PolicySettings s = Rig.settings(false, HIGH);
             Rig rig = new Rig(
-                    new Contract.Settings(
-                            s.classes(), s.tenants(), 1, s.limits(), s.obligations(), s.reporting(), true, 400, 0),
+                    new PolicySettings(s.classes(), s.tenants(), 1, s.limits(), s.rules(), s.reporting(), true, 400, 0),
                     seed);
             rig.module.start(0);
-            rig.module.servers(0, Contract.ListKind.STALE, Rig.fleet(4));
+            rig.module.endpointsChanged(0, WatchEvent.STALE_SNAPSHOT, Rig.fleet(4));
             rig.runTo(1000);
             early += rig.watches;
             rig.runTo(4200);
@@ -166,15 +165,15 @@
     /** The servers used when each request stays out for {@code hold} arrivals. */
     private static Set<String> used(Rig rig, double from, double to, double gap, int hold) {
         Set<String> used = new HashSet<>();
-        List<Contract.Request> out = new ArrayList<>();
+        List<PolicyRequest> out = new ArrayList<>();
         List<Double> due = new ArrayList<>();
         for (double now = from; now < to; now += gap) {
             rig.runTo(now);
             while (!due.isEmpty() && due.get(0) <= now) {
                 due.remove(0);
-                rig.end(now, out.remove(0), Contract.Outcome.SERVED, gap * hold);
+                rig.end(now, out.remove(0), AttemptOutcome.SUCCESS, gap * hold);
             }
-            Contract.Request r = rig.ask(now, 0);
+            PolicyRequest r = rig.ask(now, 0);
             if (rig.sends(r) > 0) {
                 used.add(rig.lastServer(r));
                 out.add(r);
@@ -186,34 +185,34 @@
 
     @Test
     void trafficOverATenantsShareIsDroppedFirst() {
-        Contract.Settings one = Rig.settings(false, HIGH);
-        Contract.Settings s = new Contract.Settings(
+        PolicySettings one = Rig.settings(false, HIGH);
+        PolicySettings s = new PolicySettings(
                 one.classes(),
-                List.of(new Contract.Tenant("t0", 0.5, 100), new Contract.Tenant("t1", 0.5, 100)),
+                List.of(new Tenant("t0", 0.5, 100), new Tenant("t1", 0.5, 100)),
                 0.2,
                 one.limits(),
-                one.obligations(),
+                one.rules(),
                 one.reporting(),
                 true,
                 4,
                 0);
         Rig rig = new Rig(s, 3);
         rig.module.start(0);
-        rig.module.servers(0, Contract.ListKind.FULL, Rig.fleet(4));
+        rig.module.endpointsChanged(0, WatchEvent.SNAPSHOT, Rig.fleet(4));
         int[] asked = new int[2];
         int[] sent = new int[2];
         int n = 0;
         for (double now = 1; now < 20000; now += 5, n++) {
             rig.runTo(now);
             int tenant = n % 5 == 0 ? 1 : 0;
-            Contract.Request r = rig.ask(now, 0, tenant, 2000);
+            PolicyRequest r = rig.ask(now, 0, tenant, 2000);
             asked[tenant]++;
             if (rig.sends(r) > 0) {
                 sent[tenant]++;
-                rig.end(now, r, n % 3 == 0 ? Contract.Outcome.SERVED : Contract.Outcome.RESET, 50);
+                rig.end(now, r, n % 3 == 0 ? AttemptOutcome.SUCCESS : AttemptOutcome.RESET, 50);
             }
-            if (!rig.answers.containsKey(r.id) && rig.sends(r) > 1) {
-                rig.end(now, r, Contract.Outcome.SERVED, 50);
+            if (!rig.answers.containsKey(r.id()) && rig.sends(r) > 1) {
+                rig.end(now, r, AttemptOutcome.SUCCESS, 50);
             }
         }
         double within = (double) sent[1] / asked[1];
@@ -224,30 +223,30 @@
     @Test
     void aSilentSubscriptionIsAskedAgainAtOnceAndAMoveWithinASecondHoweverLongItFailedBefore() {
         for (int seed = 0; seed < 20; seed++) {
-            Contract.Settings s = Rig.settings(
+            PolicySettings s = Rig.settings(
                     false,
-                    new Contract.RequestClass(
-                            "slow", 1, 0, 60_000, 90_000, Contract.Effect.SAFE, Contract.Group.ALL, 0, false));
+                    new RequestClass(
+                            "slow", 1, 0, 60_000, 90_000, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false));
             // A period is as long as the wait would be: the list must not be late for the controller's pace.
             Rig rig = new Rig(
-                    new Contract.Settings(
-                            s.classes(), s.tenants(), 1, s.limits(), s.obligations(), s.reporting(), true, 1000, 0),
+                    new PolicySettings(
+                            s.classes(), s.tenants(), 1, s.limits(), s.rules(), s.reporting(), true, 1000, 0),
                     seed);
             rig.module.start(0);
-            rig.module.servers(0, Contract.ListKind.STALE, Rig.fleet(4));
+            rig.module.endpointsChanged(0, WatchEvent.STALE_SNAPSHOT, Rig.fleet(4));
             rig.runTo(4000);
             assertEquals(1, rig.watches);
             double now = 4000;
             for (int i = 0; i < 8; i++) {
-                rig.module.servers(now, Contract.ListKind.FAILED, List.of());
+                rig.module.endpointsChanged(now, WatchEvent.FAILED, List.of());
                 now += 11_000;
                 rig.runTo(now);
             }
             assertEquals(9, rig.watches);
-            rig.module.servers(now, Contract.ListKind.MOVED, List.of());
+            rig.module.endpointsChanged(now, WatchEvent.MOVED, List.of());
             rig.runTo(now + 1000);
             assertEquals(10, rig.watches);
-            rig.module.servers(now + 2000, Contract.ListKind.SILENT, List.of());
+            rig.module.endpointsChanged(now + 2000, WatchEvent.IDLE_TIMEOUT, List.of());
             rig.runTo(now + 2000);
             assertEquals(11, rig.watches);
         }
@@ -259,10 +258,10 @@
         for (int seed = 0; seed < 8; seed++) {
             Rig rig = new Rig(Rig.settings(false, HIGH), seed);
             rig.module.start(0);
-            rig.module.servers(0, Contract.ListKind.FULL, Rig.fleet(4));
+            rig.module.endpointsChanged(0, WatchEvent.SNAPSHOT, Rig.fleet(4));
             rig.runTo(150);
             assertEquals(1, rig.watches);
-            rig.module.servers(200, Contract.ListKind.FAILED, List.of());
+            rig.module.endpointsChanged(200, WatchEvent.FAILED, List.of());
             double t = 200;
             while (rig.watches < 2 && t < 5000) {
                 t += 1;
@@ -278,14 +277,14 @@
     @Test
     void whenMostOfTheFleetIsColdItsBudgetsDoNotShrinkWithTheTrafficTheyAllow() {
         Rig rig = rig(4, HIGH);
-        drive(rig, 1, 6000, 5, s -> Contract.Outcome.SERVED);
-        List<Contract.Server> cold = new ArrayList<>();
+        drive(rig, 1, 6000, 5, s -> AttemptOutcome.SUCCESS);
+        List<Endpoint> cold = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            cold.add(new Contract.Server("s" + i, Contract.Standing.UP, 1, "z", 0, 6000));
+            cold.add(new Endpoint("s" + i, EndpointStatus.READY, 1, "z", 0, 6000));
         }
-        rig.module.servers(6000, Contract.ListKind.CHANGES, cold);
-        int early = total(drive(rig, 6000, 9000, 5, s -> Contract.Outcome.SERVED));
-        int later = total(drive(rig, 9000, 12000, 5, s -> Contract.Outcome.SERVED));
+        rig.module.endpointsChanged(6000, WatchEvent.DELTA, cold);
+        int early = total(drive(rig, 6000, 9000, 5, s -> AttemptOutcome.SUCCESS));
+        int later = total(drive(rig, 9000, 12000, 5, s -> AttemptOutcome.SUCCESS));
         assertTrue(early > 60, "a tenth of 600 at least, at a fifth of the capacity: " + early);
         assertTrue(early < 400, "and far from all: " + early);
         assertTrue(later > early, "more as they warm: " + later);
@@ -294,15 +293,15 @@
     @Test
     void aSidecarThatStartsAmongColdServersOnlyDoesNotTurnAllAway() {
         Rig rig = new Rig(Rig.settings(false, HIGH), 11);
-        List<Contract.Server> cold = new ArrayList<>();
+        List<Endpoint> cold = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            cold.add(new Contract.Server("s" + i, Contract.Standing.UP, 1, "z", 0, 1000 + i));
+            cold.add(new Endpoint("s" + i, EndpointStatus.READY, 1, "z", 0, 1000 + i));
         }
         rig.module.start(2000);
-        rig.module.servers(2000, Contract.ListKind.FULL, cold);
-        int sent = total(drive(rig, 2000, 6000, 50, s -> Contract.Outcome.SERVED));
+        rig.module.endpointsChanged(2000, WatchEvent.SNAPSHOT, cold);
+        int sent = total(drive(rig, 2000, 6000, 50, s -> AttemptOutcome.SUCCESS));
         assertTrue(sent > 16, "of 80, a fifth of its capacity is there at least: " + sent);
-        int later = total(drive(rig, 6000, 10_000, 50, s -> Contract.Outcome.SERVED));
+        int later = total(drive(rig, 6000, 10_000, 50, s -> AttemptOutcome.SUCCESS));
         assertTrue(later < 60, "and they are not sent all: " + later);
     }
 
@@ -316,13 +315,13 @@
 
     @Test
     void aLightSidecarRefusesWhenAllServersTogetherFail() {
-        Contract.RequestClass unsafe = Rig.kind("u", 2, Contract.Effect.UNSAFE, Contract.Group.ALL);
+        RequestClass unsafe = Rig.kind("u", 2, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
         Rig rig = rig(20, unsafe);
-        drive(rig, 1, 5000, 60, s -> Contract.Outcome.SERVED);
-        drive(rig, 5000, 15000, 60, s -> Contract.Outcome.RESET);
+        drive(rig, 1, 5000, 60, s -> AttemptOutcome.SUCCESS);
+        drive(rig, 5000, 15000, 60, s -> AttemptOutcome.RESET);
         int refused = 0;
-        for (Contract.Request r : rig.requests.values()) {
-            refused += r.id > 160 && "refuse".equals(rig.answers.get(r.id)) ? 1 : 0;
+        for (PolicyRequest r : rig.requests.values()) {
+            refused += r.id() > 160 && "refuse".equals(rig.answers.get(r.id())) ? 1 : 0;
         }
         assertTrue(refused > 20, "of some 90 requests after the first seconds of trouble: " + refused);
     }
@@ -330,11 +329,11 @@
     @Test
     void oneServerLeftStillServesAndAClockThatJumpsBreaksNothing() {
         Rig rig = rig(6, HIGH);
-        rig.module.servers(5, Contract.ListKind.FULL, List.of(Rig.up("s3")));
-        Map<String, Integer> count = drive(rig, 10, 2000, 20, s -> Contract.Outcome.SERVED);
+        rig.module.endpointsChanged(5, WatchEvent.SNAPSHOT, List.of(Rig.up("s3")));
+        Map<String, Integer> count = drive(rig, 10, 2000, 20, s -> AttemptOutcome.SUCCESS);
         assertEquals(Set.of("s3"), count.keySet());
         rig.runTo(3_600_000);
-        count = drive(rig, 3_600_000, 3_602_000, 20, s -> Contract.Outcome.SERVED);
+        count = drive(rig, 3_600_000, 3_602_000, 20, s -> AttemptOutcome.SUCCESS);
         assertTrue(count.get("s3") > 80, "as before the jump: " + count);
     }
 }
--- a/src/test/java/cobaltrack/EmbeddingExampleTest.java
+++ b/src/test/java/loadbalancer/policy/EmbeddingExampleTest.java
@@ -1,4 +1,4 @@
-package cobaltrack;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -9,26 +9,26 @@
 /** The README's example of a sidecar that embeds the module; it compiles and runs here. */
 class EmbeddingExampleTest {
     /** A sidecar's side: it carries out what the module decides. */
-    static final class Sidecar implements Contract.Actions {
+    static final class Sidecar implements PolicyActions {
         final List<String> did = new ArrayList<>();
 
         @Override
-        public void send(Contract.Request r, String server, double within) {
+        public void forward(PolicyRequest r, String server, double within) {
             did.add("send to " + server);
         }
 
         @Override
-        public void cancel(Contract.Request r, int attempt) {
+        public void cancelAttempt(PolicyRequest r, int attempt) {
             did.add("cancel");
         }
 
         @Override
-        public void refuse(Contract.Request r, double retryAfter) {
+        public void reject(PolicyRequest r, double retryAfter) {
             did.add("refuse");
         }
 
         @Override
-        public void fail(Contract.Request r) {
+        public void fail(PolicyRequest r) {
             did.add("fail");
         }
 
@@ -38,17 +38,17 @@
         }
 
         @Override
-        public void watchServers() {
+        public void watchEndpoints() {
             did.add("watch");
         }
 
         @Override
-        public void tellPeers(byte[] text) {
+        public void broadcast(byte[] text) {
             did.add("tell");
         }
 
         @Override
-        public void wake(double at) {
+        public void scheduleWake(double at) {
             did.add("wake");
         }
 
@@ -60,29 +60,27 @@
 
     @Test
     void aRequestIsSentAndItsAnswerTold() {
-        Contract.RequestClass read =
-                new Contract.RequestClass("read", 1, 0, 300, 1000, Contract.Effect.SAFE, Contract.Group.ALL, 0, false);
-        Contract.Settings settings = new Contract.Settings(
+        RequestClass read =
+                new RequestClass("read", 1, 0, 300, 1000, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false);
+        PolicySettings settings = new PolicySettings(
                 List.of(read),
                 List.of(),
                 1,
-                new Contract.Limits(3, false, true, false, false, true, 1000, 0),
-                new Contract.Obligations(1000, 3, 1000, 0.2, 20000, 0),
-                Contract.Reporting.NONE,
+                new PolicyLimits(3, false, true, false, false, true, 1000, 0),
+                new OperatorRules(1000, 3, 1000, 0.2, 20000, 0),
+                LoadReporting.NONE,
                 false,
                 2,
                 0);
         Sidecar sidecar = new Sidecar();
-        Contract.Events module = new Decide(settings, 42, sidecar);
+        BalancingPolicy module = new LossThrottlingPolicy(settings, 42, sidecar);
 
         module.start(0);
-        module.servers(
-                0,
-                Contract.ListKind.FULL,
-                List.of(new Contract.Server("db-1:443", Contract.Standing.UP, 1, "hall", 0, 0)));
-        Contract.Request request = new Contract.Request(1, 0, -1, 1000, false);
-        module.request(5, request);
-        module.outcome(25, request, 0, Contract.Outcome.SERVED, 20, true, null);
+        module.endpointsChanged(
+                0, WatchEvent.SNAPSHOT, List.of(new Endpoint("db-1:443", EndpointStatus.READY, 1, "hall", 0, 0)));
+        PolicyRequest request = new PolicyRequest(1, 0, -1, 1000, false);
+        module.requestArrived(5, request);
+        module.attemptEnded(25, request, 0, AttemptOutcome.SUCCESS, 20, true, null);
 
         assertEquals(List.of("wake", "send to db-1:443"), sidecar.did);
     }
--- a/src/test/java/cobaltrack/ListCallTest.java
+++ b/src/test/java/loadbalancer/policy/ListCallTest.java
@@ -1,4 +1,4 @@
-package cobaltrack;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -16,18 +16,23 @@
     private static final double QUEUE_MOST = 2000;
 
     private static Rig rig(int sidecars, double askWithin, long seed) {
-        Contract.Settings s = Rig.settings(
+        PolicySettings s = Rig.settings(
                 false,
-                new Contract.RequestClass(
-                        "slow", 1, 0, 20_000, 30_000, Contract.Effect.SAFE, Contract.Group.ALL, 0, false));
-        Contract.Obligations o = s.obligations();
-        Contract.Obligations within = new Contract.Obligations(
-                o.drainGrace(), o.fallMultiple(), o.fallTime(), o.coldShare(), o.coldTime(), askWithin);
-        Contract.Settings all = new Contract.Settings(
-                s.classes(), s.tenants(), 1, s.limits(), within, s.reporting(), true, sidecars, 0);
+                new RequestClass(
+                        "slow", 1, 0, 20_000, 30_000, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false));
+        OperatorRules o = s.rules();
+        OperatorRules within = new OperatorRules(
+                o.drainGraceMillis(),
+                o.overloadMultiple(),
+                o.overloadWindowMillis(),
+                o.slowStartInitialFraction(),
+                o.slowStartMillis(),
+                askWithin);
+        PolicySettings all =
+                new PolicySettings(s.classes(), s.tenants(), 1, s.limits(), within, s.reporting(), true, sidecars, 0);
         Rig rig = new Rig(all, seed);
         rig.module.start(0);
-        rig.module.servers(0, Contract.ListKind.STALE, Rig.fleet(4));
+        rig.module.endpointsChanged(0, WatchEvent.STALE_SNAPSHOT, Rig.fleet(4));
         return rig;
     }
 
@@ -52,9 +57,9 @@
                     double now = rig.watches > 0 ? 0 : nextCall(rig, 1);
                     for (int i = 0; i < 6; i++) {
                         // Discovery comes back the moment after a call failed, and turns the next one away.
-                        rig.module.servers(now, Contract.ListKind.FAILED, List.of());
+                        rig.module.endpointsChanged(now, WatchEvent.FAILED, List.of());
                         double first = nextCall(rig, now);
-                        rig.module.servers(first + QUEUE_MOST, Contract.ListKind.FAILED, List.of());
+                        rig.module.endpointsChanged(first + QUEUE_MOST, WatchEvent.FAILED, List.of());
                         double second = nextCall(rig, first + QUEUE_MOST);
                         assertTrue(
                                 second - now < TOLD - 900,
@@ -84,8 +89,8 @@
             Rig rig = rig(sidecars, 10_000, i);
             rig.runTo(5000);
             assertEquals(1, rig.watches);
-            rig.module.servers(5000, Contract.ListKind.FULL, Rig.fleet(4));
-            rig.module.servers(5000, Contract.ListKind.FAILED, List.of());
+            rig.module.endpointsChanged(5000, WatchEvent.SNAPSHOT, Rig.fleet(4));
+            rig.module.endpointsChanged(5000, WatchEvent.FAILED, List.of());
             seen[i] = 1;
             rigs.add(rig);
         }
@@ -98,7 +103,7 @@
                     seen[i] = rig.watches;
                     d.calls.add(now);
                     if (now < back) {
-                        rig.module.servers(5000 + now, Contract.ListKind.FAILED, List.of());
+                        rig.module.endpointsChanged(5000 + now, WatchEvent.FAILED, List.of());
                     } else {
                         d.queue.add(new double[] {i, now});
                     }
@@ -107,8 +112,8 @@
             while (!d.queue.isEmpty() && (d.freeAt <= now || now - d.queue.peek()[1] >= QUEUE_MOST)) {
                 double[] call = d.queue.poll();
                 boolean served = now - call[1] < QUEUE_MOST;
-                Contract.ListKind kind = served ? Contract.ListKind.FULL : Contract.ListKind.FAILED;
-                rigs.get((int) call[0]).module.servers(5000 + now, kind, served ? Rig.fleet(4) : List.of());
+                WatchEvent kind = served ? WatchEvent.SNAPSHOT : WatchEvent.FAILED;
+                rigs.get((int) call[0]).module.endpointsChanged(5000 + now, kind, served ? Rig.fleet(4) : List.of());
                 if (served) {
                     d.freeAt = Math.max(call[1], d.freeAt) + service;
                     d.lastTold = now - back;
--- a/src/test/java/cobaltrack/RandomEventsTest.java
+++ b/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -1,4 +1,4 @@
-package cobaltrack;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,34 +15,32 @@
 /** Seeded random event sequences against the rules, determinism, and that names mean nothing. */
 class RandomEventsTest {
     private static final class Out {
-        final Contract.Request request;
+        final PolicyRequest request;
         final int attempt;
         final double at;
 
-        Out(Contract.Request request, int attempt, double at) {
+        Out(PolicyRequest request, int attempt, double at) {
             this.request = request;
             this.attempt = attempt;
             this.at = at;
         }
     }
 
-    private static Contract.Settings settings(String prefix, boolean copies) {
-        Contract.RequestClass[] k = {
-            new Contract.RequestClass(
-                    prefix + "a", 5, 0.3, 400, 1500, Contract.Effect.SAFE, Contract.Group.ALL, 0, false),
-            new Contract.RequestClass(
-                    prefix + "b", 3, 0, 300, 1000, Contract.Effect.KEYED, Contract.Group.ZONE, 700, false),
-            new Contract.RequestClass(
-                    prefix + "c", 1, 0, 300, 1000, Contract.Effect.UNSAFE, Contract.Group.ALL, 0, false)
+    private static PolicySettings settings(String prefix, boolean copies) {
+        RequestClass[] k = {
+            new RequestClass(prefix + "a", 5, 0.3, 400, 1500, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false),
+            new RequestClass(prefix + "b", 3, 0, 300, 1000, Idempotency.WITH_KEY, DeduplicationScope.ZONE, 700, false),
+            new RequestClass(
+                    prefix + "c", 1, 0, 300, 1000, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0, false)
         };
-        Contract.Settings s = Rig.settings(copies, k);
-        return new Contract.Settings(
+        PolicySettings s = Rig.settings(copies, k);
+        return new PolicySettings(
                 s.classes(),
-                List.of(new Contract.Tenant(prefix + "t", 0.6, 50), new Contract.Tenant(prefix + "u", 0.4, 30)),
+                List.of(new Tenant(prefix + "t", 0.6, 50), new Tenant(prefix + "u", 0.4, 30)),
                 0.2,
-                new Contract.Limits(4, copies, true, true, false, true, 1000, 0.002),
-                s.obligations(),
-                Contract.Reporting.WITH_PROBES,
+                new PolicyLimits(4, copies, true, true, false, true, 1000, 0.002),
+                s.rules(),
+                LoadReporting.WITH_PROBES,
                 true,
                 4,
                 1);
@@ -52,10 +50,10 @@
     private static List<String> play(long seed, String prefix, boolean copies) {
         Random dice = new Random(seed);
         Rig rig = new Rig(settings(prefix, copies), seed);
-        Contract.Outcome[] outcomes = Contract.Outcome.values();
+        AttemptOutcome[] outcomes = AttemptOutcome.values();
         List<Out> out = new ArrayList<>();
         Map<Long, Integer> attempts = new HashMap<>();
-        Contract.Standing[] standing = new Contract.Standing[12];
+        EndpointStatus[] standing = new EndpointStatus[12];
         double[] started = new double[12];
         double now = 100000;
         rig.checked = true;
@@ -68,52 +66,52 @@
             rig.now = now;
             int what = dice.nextInt(100);
             if (what < 45) {
-                Contract.Request r =
-                        new Contract.Request(step, dice.nextInt(3), dice.nextInt(2), 200 + dice.nextInt(900), false);
-                rig.requests.put(r.id, r);
-                rig.module.request(now, r);
+                PolicyRequest r =
+                        new PolicyRequest(step, dice.nextInt(3), dice.nextInt(2), 200 + dice.nextInt(900), false);
+                rig.requests.put(r.id(), r);
+                rig.module.requestArrived(now, r);
             } else if (what < 85 && !out.isEmpty()) {
                 Out o = out.remove(dice.nextInt(out.size()));
-                Contract.Outcome end = outcomes[dice.nextInt(3) == 0 ? dice.nextInt(outcomes.length) : 0];
-                boolean over = end == Contract.Outcome.SERVED || rig.answers.containsKey(o.request.id);
-                if (end == Contract.Outcome.SERVED) {
-                    rig.answers.putIfAbsent(o.request.id, "served");
+                AttemptOutcome end = outcomes[dice.nextInt(3) == 0 ? dice.nextInt(outcomes.length) : 0];
+                boolean over = end == AttemptOutcome.SUCCESS || rig.answers.containsKey(o.request.id());
+                if (end == AttemptOutcome.SUCCESS) {
+                    rig.answers.putIfAbsent(o.request.id(), "served");
                 }
                 rig.noteOutcome(o.request, o.attempt, end);
-                rig.module.outcome(now, o.request, o.attempt, end, now - o.at, over, null);
+                rig.module.attemptEnded(now, o.request, o.attempt, end, now - o.at, over, null);
                 if (dice.nextInt(10) == 0) {
-                    rig.module.outcome(now, o.request, o.attempt, end, now - o.at, true, null);
+                    rig.module.attemptEnded(now, o.request, o.attempt, end, now - o.at, true, null);
                 }
                 assertTrue(
-                        rig.answers.containsKey(o.request.id) || rig.outstanding(o.request) > 0,
-                        "held without an attempt out: " + o.request.id);
+                        rig.answers.containsKey(o.request.id()) || rig.outstanding(o.request) > 0,
+                        "held without an attempt out: " + o.request.id());
             } else if (what < 92) {
-                List<Contract.Server> list = new ArrayList<>();
+                List<Endpoint> list = new ArrayList<>();
                 boolean full = dice.nextBoolean();
                 for (int i = 0; i < 12; i++) {
                     if (full || dice.nextInt(4) == 0) {
-                        standing[i] = Contract.Standing.values()[dice.nextInt(3) == 0 ? dice.nextInt(3) : 0];
+                        standing[i] = EndpointStatus.values()[dice.nextInt(3) == 0 ? dice.nextInt(3) : 0];
                         started[i] = dice.nextInt(4) == 0 ? now : started[i];
-                        list.add(new Contract.Server("s" + i, standing[i], 1, "z" + i % 3, i / 4, started[i]));
+                        list.add(new Endpoint("s" + i, standing[i], 1, "z" + i % 3, i / 4, started[i]));
                     }
                 }
-                rig.module.servers(now, full ? Contract.ListKind.FULL : Contract.ListKind.CHANGES, list);
+                rig.module.endpointsChanged(now, full ? WatchEvent.SNAPSHOT : WatchEvent.DELTA, list);
             } else if (what < 94) {
-                rig.module.servers(now, Contract.ListKind.FAILED, List.of());
+                rig.module.endpointsChanged(now, WatchEvent.FAILED, List.of());
             } else if (what < 96) {
-                rig.module.probed(
+                rig.module.probeEnded(
                         now,
                         "s" + dice.nextInt(14),
-                        Contract.Outcome.SERVED,
+                        AttemptOutcome.SUCCESS,
                         1,
-                        new Contract.Report(
+                        new LoadReport(
                                 dice.nextInt(6), dice.nextInt(5), Double.NaN, Double.NaN, Double.NaN, Double.NaN));
             } else if (what < 98) {
-                rig.module.message(now, 2, new byte[dice.nextInt(9)]);
+                rig.module.messageReceived(now, 2, new byte[dice.nextInt(9)]);
             } else if (!out.isEmpty()) {
-                Contract.Request r = out.get(0).request;
-                rig.answers.putIfAbsent(r.id, "left");
-                rig.module.abandoned(now, r);
+                PolicyRequest r = out.get(0).request;
+                rig.answers.putIfAbsent(r.id(), "left");
+                rig.module.clientDisconnected(now, r);
             }
             scanned = scan(rig, scanned, out, attempts, standing);
         }
@@ -121,14 +119,13 @@
     }
 
     /** Notes the attempts among the newest actions; each must have gone to a server that the list calls up. */
-    private static int scan(
-            Rig rig, int from, List<Out> out, Map<Long, Integer> attempts, Contract.Standing[] standing) {
+    private static int scan(Rig rig, int from, List<Out> out, Map<Long, Integer> attempts, EndpointStatus[] standing) {
         for (int i = from; i < rig.actions.size(); i++) {
             String[] a = rig.actions.get(i).split(" ");
             if (a[0].equals("send")) {
-                Contract.Request r = rig.requests.get(Long.parseLong(a[1]));
-                out.add(new Out(r, attempts.merge(r.id, 1, Integer::sum) - 1, rig.now));
-                assertEquals(Contract.Standing.UP, standing[Integer.parseInt(a[2].substring(1))], "sent to " + a[2]);
+                PolicyRequest r = rig.requests.get(Long.parseLong(a[1]));
+                out.add(new Out(r, attempts.merge(r.id(), 1, Integer::sum) - 1, rig.now));
+                assertEquals(EndpointStatus.READY, standing[Integer.parseInt(a[2].substring(1))], "sent to " + a[2]);
             }
         }
         return rig.actions.size();
--- a/src/test/java/cobaltrack/RecordedDecisionsTest.java
+++ b/src/test/java/loadbalancer/policy/RecordedDecisionsTest.java
@@ -1,6 +1,7 @@
-package cobaltrack;
+package loadbalancer.policy;
 
 import java.io.IOException;
+import loadbalancer.testing.RecordedBehaviour;
 import org.junit.jupiter.api.Test;
 
 /** Every action of the policy in seeded random runs is the one that was recorded. */
--- a/src/test/java/cobaltrack/RulesTest.java
+++ b/src/test/java/loadbalancer/policy/RulesTest.java
@@ -1,4 +1,4 @@
-package cobaltrack;
+package loadbalancer.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -9,53 +9,53 @@
 
 /** The four rules, each by a script that fails when its guard is taken out. */
 class RulesTest {
-    private static final Contract.RequestClass SAFE = Rig.kind("a", 2, Contract.Effect.SAFE, Contract.Group.ALL);
-    private static final Contract.RequestClass UNSAFE = Rig.kind("b", 2, Contract.Effect.UNSAFE, Contract.Group.ALL);
-    private static final Contract.RequestClass KEYED = Rig.kind("c", 2, Contract.Effect.KEYED, Contract.Group.ZONE);
+    private static final RequestClass SAFE = Rig.kind("a", 2, Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+    private static final RequestClass UNSAFE = Rig.kind("b", 2, Idempotency.NOT_IDEMPOTENT, DeduplicationScope.ALL);
+    private static final RequestClass KEYED = Rig.kind("c", 2, Idempotency.WITH_KEY, DeduplicationScope.ZONE);
 
-    private static Rig rig(boolean copies, Contract.RequestClass k, List<Contract.Server> fleet) {
+    private static Rig rig(boolean copies, RequestClass k, List<Endpoint> fleet) {
         Rig rig = new Rig(Rig.settings(copies, k), 7);
         rig.module.start(0);
-        rig.module.servers(0, Contract.ListKind.FULL, fleet);
+        rig.module.endpointsChanged(0, WatchEvent.SNAPSHOT, fleet);
         return rig;
     }
 
     @Test
     void anEmptyFleetRefusesAtOnce() {
         Rig rig = rig(false, SAFE, List.of());
-        Contract.Request r = rig.ask(1, 0);
-        assertEquals("refuse", rig.answers.get(r.id));
+        PolicyRequest r = rig.ask(1, 0);
+        assertEquals("refuse", rig.answers.get(r.id()));
     }
 
     @Test
     void aTimeOutAtTheDeadlineIsFailed() {
         Rig rig = rig(false, SAFE, Rig.fleet(6));
-        Contract.Request r = rig.ask(1, 0, -1, 300);
-        rig.end(301, r, Contract.Outcome.TIMED_OUT, 300);
-        assertEquals("fail", rig.answers.get(r.id));
+        PolicyRequest r = rig.ask(1, 0, -1, 300);
+        rig.end(301, r, AttemptOutcome.TIMED_OUT, 300);
+        assertEquals("fail", rig.answers.get(r.id()));
         assertEquals(1, rig.sends(r));
     }
 
     @Test
     void anUnsafeRequestThatMayHaveRunIsNeitherRepeatedNorRefused() {
-        for (Contract.Outcome o : Contract.Outcome.values()) {
-            if (o.neverRan || o == Contract.Outcome.SERVED) {
+        for (AttemptOutcome o : AttemptOutcome.values()) {
+            if (o.provesNotExecuted() || o == AttemptOutcome.SUCCESS) {
                 continue;
             }
             Rig rig = rig(false, UNSAFE, Rig.fleet(6));
-            Contract.Request r = rig.ask(1, 0);
+            PolicyRequest r = rig.ask(1, 0);
             rig.end(20, r, o, 19);
             assertEquals(1, rig.sends(r), o.toString());
-            assertEquals("fail", rig.answers.get(r.id), o.toString());
+            assertEquals("fail", rig.answers.get(r.id()), o.toString());
         }
     }
 
     @Test
     void anUnsafeRequestThatNeverRanGoesToAnotherServer() {
         Rig rig = rig(false, UNSAFE, Rig.fleet(6));
-        Contract.Request r = rig.ask(1, 0);
+        PolicyRequest r = rig.ask(1, 0);
         String first = rig.lastServer(r);
-        rig.end(20, r, Contract.Outcome.FULL, 19);
+        rig.end(20, r, AttemptOutcome.REJECTED, 19);
         assertEquals(2, rig.sends(r));
         assertNotEquals(first, rig.lastServer(r));
     }
@@ -65,18 +65,18 @@
         for (int seed = 0; seed < 40; seed++) {
             Rig rig = new Rig(Rig.settings(false, KEYED), seed);
             rig.module.start(0);
-            List<Contract.Server> fleet = new java.util.ArrayList<>();
+            List<Endpoint> fleet = new java.util.ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                fleet.add(new Contract.Server("s" + i, Contract.Standing.UP, 1, "z" + i % 2, 0, 0));
+                fleet.add(new Endpoint("s" + i, EndpointStatus.READY, 1, "z" + i % 2, 0, 0));
             }
-            rig.module.servers(0, Contract.ListKind.FULL, fleet);
-            Contract.Request r = rig.ask(1, 0);
+            rig.module.endpointsChanged(0, WatchEvent.SNAPSHOT, fleet);
+            PolicyRequest r = rig.ask(1, 0);
             String first = rig.lastServer(r);
-            rig.end(20, r, Contract.Outcome.RESET, 19);
+            rig.end(20, r, AttemptOutcome.RESET, 19);
             if (rig.sends(r) == 2) {
                 assertEquals(first.charAt(1) % 2, rig.lastServer(r).charAt(1) % 2);
             } else {
-                assertEquals("fail", rig.answers.get(r.id));
+                assertEquals("fail", rig.answers.get(r.id()));
             }
         }
     }
@@ -86,22 +86,22 @@
         // An overdue attempt is neither copied nor called off: in a jam such repeats were what kept it going.
         for (boolean copies : new boolean[] {false, true}) {
             Rig rig = rig(copies, SAFE, Rig.fleet(6));
-            Contract.Request r = rig.ask(1, 0);
+            PolicyRequest r = rig.ask(1, 0);
             rig.runTo(1900);
             assertEquals(1, rig.sends(r));
             assertTrue(rig.cancels.isEmpty());
-            rig.end(1900, r, Contract.Outcome.RESET, 1899);
-            assertEquals("refuse", rig.answers.get(r.id), "past its aim another attempt is worth nothing");
+            rig.end(1900, r, AttemptOutcome.RESET, 1899);
+            assertEquals("refuse", rig.answers.get(r.id()), "past its aim another attempt is worth nothing");
         }
     }
 
     @Test
     void aClientThatLeftHasItsAttemptCalledOff() {
         Rig rig = rig(false, SAFE, Rig.fleet(6));
-        Contract.Request r = rig.ask(1, 0);
-        rig.module.abandoned(5, r);
+        PolicyRequest r = rig.ask(1, 0);
+        rig.module.clientDisconnected(5, r);
         assertEquals(1, rig.cancels.size());
-        rig.end(6, r, Contract.Outcome.CANCELLED, 5);
+        rig.end(6, r, AttemptOutcome.CANCELLED, 5);
         assertTrue(rig.answers.isEmpty(), "nothing is owed any more");
         assertEquals(1, rig.sends(r));
     }
@@ -109,18 +109,16 @@
     @Test
     void nothingNewGoesToADrainingOrMissingServer() {
         Rig rig = rig(false, SAFE, Rig.fleet(3));
-        rig.module.servers(
-                5,
-                Contract.ListKind.CHANGES,
-                List.of(new Contract.Server("s0", Contract.Standing.DRAINING, 1, "z", 0, 0)));
-        rig.module.servers(
+        rig.module.endpointsChanged(
+                5, WatchEvent.DELTA, List.of(new Endpoint("s0", EndpointStatus.DRAINING, 1, "z", 0, 0)));
+        rig.module.endpointsChanged(
                 6,
-                Contract.ListKind.FULL,
-                List.of(new Contract.Server("s0", Contract.Standing.DRAINING, 1, "z", 0, 0), Rig.up("s1")));
+                WatchEvent.SNAPSHOT,
+                List.of(new Endpoint("s0", EndpointStatus.DRAINING, 1, "z", 0, 0), Rig.up("s1")));
         for (int i = 0; i < 50; i++) {
-            Contract.Request r = rig.ask(7 + i, 0);
+            PolicyRequest r = rig.ask(7 + i, 0);
             assertEquals("s1", rig.lastServer(r));
-            rig.end(7 + i, r, Contract.Outcome.SERVED, 1);
+            rig.end(7 + i, r, AttemptOutcome.SUCCESS, 1);
         }
     }
 
@@ -134,12 +132,10 @@
             now += 1;
             rig.runTo(now);
             if (i == 4000) {
-                rig.module.servers(
-                        now,
-                        Contract.ListKind.CHANGES,
-                        List.of(new Contract.Server("s1", Contract.Standing.UP, 1, "z", 0, now)));
+                rig.module.endpointsChanged(
+                        now, WatchEvent.DELTA, List.of(new Endpoint("s1", EndpointStatus.READY, 1, "z", 0, now)));
             }
-            Contract.Request r = rig.ask(now, 0);
+            PolicyRequest r = rig.ask(now, 0);
             String s = rig.lastServer(r);
             if (s == null) {
                 continue;
@@ -148,7 +144,7 @@
                 sent++;
                 cold += s.equals("s1") ? 1 : 0;
             }
-            rig.end(now, r, Contract.Outcome.SERVED, 5);
+            rig.end(now, r, AttemptOutcome.SUCCESS, 5);
         }
         assertTrue(cold > 100, "it is warmed up: " + cold);
         assertTrue(cold < 0.45 * sent / 4, "and spared: " + cold + " of " + sent);
--- a/src/test/java/cobaltrack/sidecar/DecimalsTest.java
+++ b/src/test/java/loadbalancer/protocol/DecimalsTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -50,6 +50,6 @@
     }
 
     private static void same(double value) {
-        assertEquals(String.format(Locale.ROOT, "%.3f", value), Decimals.thousandths(value), () -> "of " + value);
+        assertEquals(String.format(Locale.ROOT, "%.3f", value), Decimals.formatThousandths(value), () -> "of " + value);
     }
 }
--- a/src/test/java/cobaltrack/sidecar/AttemptTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -15,6 +15,10 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import loadbalancer.eventloop.LoopLateness;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestClient;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -27,7 +31,7 @@
     @Test
     void aRequestGoesOnUnchangedAndConnectionsAreReused() throws Exception {
         try (FakeServer e = new FakeServer(OK);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             TestClient.Answer a = c.ask("POST /api?obj=7f%20x HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: 9b1f\r\n"
                     + "Request-Class: pay\r\nIdempotency-Key: k7\r\nRequest-Timeout: 5\r\n"
@@ -52,7 +56,7 @@
 
     @Test
     void aRefusedConnectionProvesThatNothingRan() throws Exception {
-        try (TestNode n = new TestNode(FakeServer.refusing(), FakeServer.refusing());
+        try (TestSidecar n = new TestSidecar(FakeServer.refusing(), FakeServer.refusing());
                 TestClient c = n.client()) {
             TestClient.Answer a = c.ask(TestClient.submit("5"));
             assertEquals(503, a.status());
@@ -72,7 +76,7 @@
         };
         try (FakeServer e = new FakeServer(firstIsFull);
                 FakeServer f = new FakeServer(firstIsFull);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address(), f.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address(), f.address());
                 TestClient c = n.client()) {
             assertEquals("done", c.ask(TestClient.submit("5")).body());
             assertEquals(2, e.requests.size() + f.requests.size());
@@ -84,7 +88,7 @@
     void anEndpointsOwnWordsNeverBecomeARefusal(String status) throws Exception {
         try (FakeServer e = new FakeServer((r, w) -> w.answer(status, "Retry-After: 1\r\n", "x"));
                 FakeServer f = new FakeServer((r, w) -> w.answer(status, "", "x"));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address(), f.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address(), f.address());
                 TestClient c = n.client()) {
             TestClient.Answer a = c.ask(TestClient.submit("5"));
             assertEquals(502, a.status());
@@ -97,7 +101,7 @@
     void aResetAfterTheWriteFailsAnUnsafeRequestAfterOneAttempt() throws Exception {
         try (FakeServer e = new FakeServer((r, w) -> w.reset());
                 FakeServer f = new FakeServer((r, w) -> w.reset());
-                TestNode n = new TestNode(FakeServer.refusing(), e.address(), f.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address(), f.address());
                 TestClient c = n.client()) {
             assertEquals(502, c.ask(TestClient.submit("5")).status());
             assertEquals(1, e.requests.size() + f.requests.size());
@@ -115,7 +119,7 @@
             }
         };
         try (FakeServer e = new FakeServer(onceThenReset);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             int status = c.ask(TestClient.submit("5")).status();
             for (int i = 0; status == 200 && i < 1000; i++) {
@@ -138,7 +142,7 @@
         };
         try (FakeServer e = new FakeServer(firstBreaks);
                 FakeServer f = new FakeServer(firstBreaks);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address(), f.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address(), f.address());
                 TestClient c = n.client()) {
             assertEquals("done", c.ask(TestClient.status("5")).body());
         }
@@ -161,7 +165,7 @@
                     w.text(raw.contains("99999") ? raw + "y".repeat(99999) : raw);
                     w.socket().close();
                 });
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             TestClient.Answer a = c.ask(TestClient.submit("5"));
             assertEquals(502, a.status());
@@ -174,7 +178,7 @@
         try (FakeServer e = new FakeServer((r, w) -> w.text("HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\n"
                         + "Transfer-Encoding: chunked\r\nServer-Load: util=oops\r\n\r\n"
                         + "2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             assertEquals("abc", c.ask(TestClient.submit("5")).body());
         }
@@ -196,7 +200,7 @@
     void aSpoiltAnswerFailsLongBeforeTheDeadlineThoughItsConnectionStaysOpen(String raw) throws Exception {
         String text = raw.replace("INTERIM", "HTTP/1.1 100 Continue\r\n\r\n".repeat(50));
         try (FakeServer e = new FakeServer((r, w) -> w.text(text));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             // Its own deadline is longer than this test has patience, and it may not go out again.
             assertEquals(502, c.ask(TestClient.submit("50")).status());
@@ -216,7 +220,7 @@
     void whatFollowsAnAnswerNeverAnswersTheNextRequest(String surplus) throws Exception {
         String text = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood" + surplus;
         try (FakeServer e = new FakeServer((r, w) -> w.text(text));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             for (int i = 0; i < 20; i++) {
                 assertEquals("good", c.ask(TestClient.submit("5")).body());
@@ -229,7 +233,7 @@
     @Test
     void aSilentEndpointIsGivenUpInTimeAndItsConnectionClosed() throws Exception {
         try (FakeServer e = new FakeServer(SILENT);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             assertEquals(502, c.ask(TestClient.submit("0.4")).status());
             e.awaitEnd();
@@ -241,7 +245,7 @@
     void anAnswerAfterTheEndIsDropped() throws Exception {
         FakeServer.Wire[] late = new FakeServer.Wire[1];
         try (FakeServer e = new FakeServer((r, w) -> late[0] = w);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             assertEquals(502, c.ask(TestClient.submit("0.3")).status());
             e.awaitEnd();
@@ -266,7 +270,7 @@
     @Test
     void aClientThatLeavesCallsItsAttemptOff() throws Exception {
         try (FakeServer e = new FakeServer(SILENT);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address())) {
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address())) {
             try (TestClient c = n.client()) {
                 c.send(TestClient.submit("50"));
                 assertNotNull(e.awaitRequest());
@@ -277,17 +281,17 @@
 
     @Test
     void ofAShortWaitMostIsLeftForTheAttempt() {
-        assertEquals(2, LoopLateness.margin(20, 0), 1e-9);
-        assertEquals(25, LoopLateness.margin(1000, 0), 1e-9);
-        assertEquals(2 + 6, LoopLateness.margin(20, 500), 1e-9);
-        assertEquals(25 + 100, LoopLateness.margin(1000, 50), 1e-9);
+        assertEquals(2, LoopLateness.safetyMargin(20, 0), 1e-9);
+        assertEquals(25, LoopLateness.safetyMargin(1000, 0), 1e-9);
+        assertEquals(2 + 6, LoopLateness.safetyMargin(20, 500), 1e-9);
+        assertEquals(25 + 100, LoopLateness.safetyMargin(1000, 50), 1e-9);
     }
 
     @Test
     void aLateLoopTakesItsLatenessOffTheWaitUntilItIsForgotten() throws Exception {
         BlockingQueue<FakeServer.Wire> wires = new LinkedBlockingQueue<>();
         try (FakeServer e = new FakeServer((r, w) -> wires.add(w));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             // Timers are due at their old times, and run as if the loop had stood still.
             n.advance(400);
@@ -306,10 +310,10 @@
     @Test
     void anIdIsNotTakenAgainWhileAnAttemptIsOutForTheClientThatLeft() throws Exception {
         BlockingQueue<FakeServer.Wire> wires = new LinkedBlockingQueue<>();
-        String config = TestNode.config("127.0.0.1:0", FakeServer.refusing(), 1024, "ENDPOINT")
+        String config = TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024, "ENDPOINT")
                 .replace("\"cancel\":true", "\"cancel\":false");
         try (FakeServer e = new FakeServer((r, w) -> wires.add(w));
-                TestNode n = new TestNode(config.replace("ENDPOINT", e.address()), NioSocketChannel.class)) {
+                TestSidecar n = new TestSidecar(config.replace("ENDPOINT", e.address()), NioSocketChannel.class)) {
             String request = TestClient.submit("50");
             try (TestClient c = n.client()) {
                 c.send(request);
@@ -321,7 +325,7 @@
                 assertEquals(400, c.ask(request).status());
             }
             wires.take().ok("late");
-            n.await(() -> n.sidecar.held() == 0);
+            n.await(() -> n.sidecar.pendingCount() == 0);
             e.script(OK);
             try (TestClient c = n.client()) {
                 assertEquals(200, c.ask(request).status());
@@ -336,7 +340,7 @@
                     w.ok("done");
                     w.socket().shutdownOutput();
                 });
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             assertEquals(200, c.ask(TestClient.submit("5")).status());
             e.awaitEnd();
@@ -350,7 +354,7 @@
         // Room for one connection to all endpoints together.
         try (FakeServer e = new FakeServer(OK);
                 FakeServer f = new FakeServer(OK);
-                TestNode n = new TestNode(4, FakeServer.refusing(), "ask", e.address(), f.address());
+                TestSidecar n = new TestSidecar(4, FakeServer.refusing(), "ask", e.address(), f.address());
                 TestClient c = n.client()) {
             for (int i = 0; i < 20; i++) {
                 assertEquals(200, c.ask(TestClient.status("5")).status());
@@ -370,7 +374,7 @@
                         w.reset();
                     }
                 });
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             assertEquals(200, c.ask(TestClient.submit("5")).status());
             long from = System.nanoTime();
--- a/src/test/java/cobaltrack/sidecar/AttemptTimeoutHeaderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptTimeoutHeaderTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,6 +7,10 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicReference;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.LateSocket;
+import loadbalancer.testing.TestClient;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -25,7 +29,7 @@
             addresses[i] = endpoints[i].address();
         }
         // Answers are worth as much up to the end, so that no attempt is given less than the client's time.
-        return TestNode.config("127.0.0.1:0", FakeServer.refusing(), 1024, addresses)
+        return TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024, addresses)
                 .replace("\"slo\":1200", "\"slo\":60000")
                 .replace("\"slo\":30000", "\"slo\":60000");
     }
@@ -39,7 +43,7 @@
     @Test
     void aFirstAttemptIsToldTheClientsTime() throws Exception {
         try (FakeServer e = new FakeServer(OK);
-                TestNode n = new TestNode(config(e), NioSocketChannel.class);
+                TestSidecar n = new TestSidecar(config(e), NioSocketChannel.class);
                 TestClient c = n.client()) {
             assertEquals(200, c.ask(TestClient.submit("50")).status());
             assertTold(30, 50, e.awaitRequest());
@@ -48,7 +52,7 @@
 
     @Test
     void aFurtherAttemptIsToldWhatTheFirstHasLeft() throws Exception {
-        AtomicReference<TestNode> node = new AtomicReference<>();
+        AtomicReference<TestSidecar> node = new AtomicReference<>();
         List<FakeServer.Request> sent = new CopyOnWriteArrayList<>();
         FakeServer.Script late = (r, w) -> {
             sent.add(r);
@@ -61,7 +65,7 @@
         };
         try (FakeServer e = new FakeServer(late);
                 FakeServer f = new FakeServer(late);
-                TestNode n = new TestNode(config(e, f), NioSocketChannel.class);
+                TestSidecar n = new TestSidecar(config(e, f), NioSocketChannel.class);
                 TestClient c = n.client()) {
             node.set(n);
             assertEquals("done", c.ask(TestClient.status("50")).body());
@@ -73,7 +77,7 @@
     @Test
     void anAttemptWhoseConnectionCameUpLateIsToldWhatIsLeftThen() throws Exception {
         try (FakeServer e = new FakeServer(OK);
-                TestNode n = new TestNode(config(e), LateSocket.class);
+                TestSidecar n = new TestSidecar(config(e), LateSocket.class);
                 TestClient c = n.client()) {
             c.send(TestClient.submit("50"));
             Runnable comesUp = LateSocket.awaitConnect();
--- a/src/test/java/cobaltrack/sidecar/CrossingTest.java
+++ b/src/test/java/loadbalancer/proxy/CrossingTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,12 +12,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
+import loadbalancer.protocol.ProtocolLimits;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestClient;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Two events in one turn of the loop, or one in the middle of the other, on real sockets. */
-class CrossingTest {
+public class CrossingTest {
     /** A socket that takes little at a time, so that a body is written in parts. */
     public static final class NarrowSocket extends NioSocketChannel {
         /** A socket with a small buffer. */
@@ -27,7 +31,7 @@
     }
 
     private static String config(String cancel, String... endpoints) throws IOException {
-        return TestNode.config("127.0.0.1:0", FakeServer.refusing(), 1024, endpoints)
+        return TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024, endpoints)
                 .replace("\"cancel\":true", "\"cancel\":" + cancel);
     }
 
@@ -37,10 +41,11 @@
         try (ServerSocket endpoint = new ServerSocket()) {
             endpoint.setReceiveBufferSize(4096);
             endpoint.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            try (TestNode n = new TestNode(config("true", "127.0.0.1:" + endpoint.getLocalPort()), NarrowSocket.class);
+            try (TestSidecar n = new TestSidecar(
+                            config("true", "127.0.0.1:" + endpoint.getLocalPort()), NarrowSocket.class);
                     TestClient c = n.client()) {
                 // Far more than both buffers hold, or little enough for them.
-                int size = before ? ResponseAssembler.MAX_BODY_BYTES : 100;
+                int size = before ? ProtocolLimits.MAX_BODY_BYTES : 100;
                 c.send(TestClient.submit("50")
                         .replace(
                                 "Content-Length: 3\r\n\r\nabc",
@@ -67,7 +72,7 @@
     void anAnswerAndTheDeadlineInOneTurnMakeOneAnswer(String cancel, boolean withLength) throws Exception {
         BlockingQueue<FakeServer.Wire> wires = new LinkedBlockingQueue<>();
         try (FakeServer e = new FakeServer((r, w) -> wires.add(w));
-                TestNode n = new TestNode(config(cancel, e.address()), NioSocketChannel.class);
+                TestSidecar n = new TestSidecar(config(cancel, e.address()), NioSocketChannel.class);
                 TestClient c = n.client()) {
             c.send(TestClient.submit("1"));
             FakeServer.Wire w = wires.take();
@@ -84,7 +89,7 @@
             });
             int status = c.read().status();
             assertTrue(status == 200 || status == 502, "answered " + status);
-            n.await(() -> n.sidecar.held() == 0);
+            n.await(() -> n.sidecar.pendingCount() == 0);
             // Nothing is left over that would answer the next request.
             assertEquals(404, c.ask("GET /other HTTP/1.1\r\nHost: x\r\n\r\n").status());
             assertEquals(1, e.requests.size());
@@ -96,7 +101,7 @@
     void aClientThatAsksAndLeavesInOneGoIsForgotten(String cancel, boolean half) throws Exception {
         BlockingQueue<FakeServer.Wire> wires = new LinkedBlockingQueue<>();
         try (FakeServer e = new FakeServer((r, w) -> wires.add(w));
-                TestNode n = new TestNode(config(cancel, e.address()), NioSocketChannel.class);
+                TestSidecar n = new TestSidecar(config(cancel, e.address()), NioSocketChannel.class);
                 Socket client = new Socket(InetAddress.getLoopbackAddress(), n.port)) {
             // The loop sees the request and the end of the connection together.
             n.call(() -> {
@@ -109,11 +114,11 @@
                 return null;
             });
             n.await(() -> n.server.connections() == 0);
-            if (cancel.equals("false") && n.call(n.sidecar::held) > 0) {
+            if (cancel.equals("false") && n.call(n.sidecar::pendingCount) > 0) {
                 // What was sent may not be called off; its answer reaches nobody.
                 wires.take().ok("late");
             }
-            n.await(() -> n.sidecar.held() == 0);
+            n.await(() -> n.sidecar.pendingCount() == 0);
             e.script((r, w) -> w.ok("next"));
             try (TestClient c = n.client()) {
                 assertEquals("next", c.ask(TestClient.submit("50")).body());
@@ -127,11 +132,14 @@
         BlockingQueue<FakeServer.Wire> wires = new LinkedBlockingQueue<>();
         try (FakeServer e = new FakeServer((r, w) -> wires.add(w));
                 FakeServer f = new FakeServer((r, w) -> w.ok("new"));
-                TestNode n = new TestNode(config("true", e.address()), NioSocketChannel.class);
+                TestSidecar n = new TestSidecar(config("true", e.address()), NioSocketChannel.class);
                 TestClient c = n.client()) {
             c.send(TestClient.submit("50"));
             FakeServer.Wire w = wires.take();
-            n.tell(false, TestNode.host("s0", e.address(), "draining"), TestNode.host("s1", f.address(), "ready"));
+            n.tell(
+                    false,
+                    TestSidecar.host("s0", e.address(), "draining"),
+                    TestSidecar.host("s1", f.address(), "ready"));
             w.ok("finished");
             assertEquals("finished", c.read().body());
             // Its connection rests no longer than the endpoint lasts, and is not used again.
@@ -143,7 +151,7 @@
 
     @Test
     void withNoListAtAllARequestIsRefusedAtOnce() throws Exception {
-        try (TestNode n = new TestNode(config("true"), NioSocketChannel.class);
+        try (TestSidecar n = new TestSidecar(config("true"), NioSocketChannel.class);
                 TestClient c = n.client()) {
             TestClient.Answer a = c.ask(TestClient.submit("50"));
             assertEquals(503, a.status());
--- a/src/test/java/cobaltrack/sidecar/CrowdingTest.java
+++ b/src/test/java/loadbalancer/proxy/CrowdingTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -11,6 +11,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestClient;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.Test;
 
 /** What attempts that are out do to those that come after them. */
@@ -32,7 +35,7 @@
         };
         List<TestClient> waiting = new ArrayList<>();
         try (FakeServer e = new FakeServer(silentOnSubmits);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             serve(c, SERVED_BETWEEN);
             for (int i = 0; i < SILENT; i++) {
@@ -57,7 +60,7 @@
             w.ok("done");
         };
         try (FakeServer e = new FakeServer(slowly);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             serve(c, SERVED_BETWEEN);
             // Nothing else is asked meanwhile.
@@ -85,7 +88,7 @@
         };
         List<TestClient> waiting = new ArrayList<>();
         try (FakeServer e = new FakeServer(idle);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             serve(c, SERVED_BETWEEN);
             waiting.add(leaveWithoutAnswer(n, unanswered));
@@ -124,7 +127,7 @@
         }
     }
 
-    private static TestClient leaveWithoutAnswer(TestNode n, Semaphore unanswered) throws Exception {
+    private static TestClient leaveWithoutAnswer(TestSidecar n, Semaphore unanswered) throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.PATIENCE_S);
         while (System.nanoTime() < end) {
             TestClient c = send(n, unanswered);
@@ -136,7 +139,7 @@
     }
 
     // The client of a request that has reached the endpoint, or null if it was refused.
-    private static TestClient send(TestNode n, Semaphore unanswered) throws Exception {
+    private static TestClient send(TestSidecar n, Semaphore unanswered) throws Exception {
         TestClient c = n.client();
         c.send(TestClient.submit("60"));
         CompletableFuture<Boolean> refused = CompletableFuture.supplyAsync(() -> {
--- a/src/test/java/cobaltrack/sidecar/DepartureTest.java
+++ b/src/test/java/loadbalancer/proxy/DepartureTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -12,6 +12,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.LateSocket;
+import loadbalancer.testing.TestClient;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
@@ -51,10 +55,10 @@
         return w;
     }
 
-    private static TestNode node(String cancel, Class<? extends Channel> channels, FakeServer e, FakeServer f)
+    private static TestSidecar node(String cancel, Class<? extends Channel> channels, FakeServer e, FakeServer f)
             throws Exception {
-        String config = TestNode.config("127.0.0.1:0", FakeServer.refusing(), 1024, e.address(), f.address());
-        return new TestNode(config.replace("\"cancel\":true", "\"cancel\":" + cancel), channels);
+        String config = TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024, e.address(), f.address());
+        return new TestSidecar(config.replace("\"cancel\":true", "\"cancel\":" + cancel), channels);
     }
 
     private static void fail(FakeServer.Wire wire, String how) throws IOException {
@@ -66,8 +70,8 @@
     }
 
     // Whatever would be sent is sent before a request that is made later than the end of the one left.
-    private static void assertSent(int count, TestNode n, FakeServer e, FakeServer f) throws Exception {
-        n.await(() -> n.sidecar.held() == 0);
+    private static void assertSent(int count, TestSidecar n, FakeServer e, FakeServer f) throws Exception {
+        n.await(() -> n.sidecar.pendingCount() == 0);
         n.turn();
         try (TestClient c = n.client()) {
             assertEquals("marker", c.ask(TestClient.pay("50")).body());
@@ -85,7 +89,7 @@
     void anAttemptThatFailsAfterItsClientLeftIsTheLast(String way, String failure, String cancel) throws Exception {
         try (FakeServer e = endpoint();
                 FakeServer f = endpoint();
-                TestNode n = node(cancel, NioSocketChannel.class, e, f);
+                TestSidecar n = node(cancel, NioSocketChannel.class, e, f);
                 TestClient c = n.client()) {
             c.send(TestClient.status("50"));
             FakeServer.Wire w = first();
@@ -110,7 +114,7 @@
             throws Exception {
         try (FakeServer e = endpoint();
                 FakeServer f = endpoint();
-                TestNode n = node(cancel, NioSocketChannel.class, e, f);
+                TestSidecar n = node(cancel, NioSocketChannel.class, e, f);
                 TestClient c = n.client()) {
             // A further attempt would find a connection at rest, and need not wait for one.
             while (e.requests.isEmpty() || f.requests.isEmpty()) {
@@ -135,7 +139,7 @@
     }
 
     // A timer that is set after those of the connections that rest after an answer, and for longer.
-    private static void awaitRested(TestNode n) throws Exception {
+    private static void awaitRested(TestSidecar n) throws Exception {
         n.group.next().schedule(() -> {}, 100, TimeUnit.MILLISECONDS).get();
     }
 
@@ -144,7 +148,7 @@
     void anAttemptThatWaitsForAConnectionIsNotSentOnceItsClientLeft(String way) throws Exception {
         try (FakeServer e = endpoint();
                 FakeServer f = endpoint();
-                TestNode n = node("false", LateSocket.class, e, f);
+                TestSidecar n = node("false", LateSocket.class, e, f);
                 TestClient c = n.client()) {
             c.send(TestClient.status("50"));
             Runnable comesUp = LateSocket.awaitConnect();
@@ -160,7 +164,7 @@
     void aConnectionThatComesUpInTheTurnInWhichItsClientLeavesCarriesNothing(String way) throws Exception {
         try (FakeServer e = endpoint();
                 FakeServer f = endpoint();
-                TestNode n = node("false", LateSocket.class, e, f);
+                TestSidecar n = node("false", LateSocket.class, e, f);
                 TestClient c = n.client()) {
             c.send(TestClient.status("50"));
             Runnable comesUp = LateSocket.awaitConnect();
@@ -188,7 +192,7 @@
         }
     }
 
-    private static void assertNothingSentThoughAllConnect(TestNode n, FakeServer e, FakeServer f) throws Exception {
+    private static void assertNothingSentThoughAllConnect(TestSidecar n, FakeServer e, FakeServer f) throws Exception {
         Thread connecting = letAllConnect();
         try {
             assertSent(0, n, e, f);
--- a/src/test/java/cobaltrack/sidecar/LateConnectionTest.java
+++ b/src/test/java/loadbalancer/proxy/LateConnectionTest.java
@@ -1,8 +1,12 @@
-package cobaltrack.sidecar;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.LateSocket;
+import loadbalancer.testing.TestClient;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -18,28 +22,28 @@
         LateSocket.forget();
     }
 
-    private static TestNode node(String cancel, String... endpoints) throws Exception {
-        return new TestNode(
-                TestNode.config("127.0.0.1:0", FakeServer.refusing(), 1024, endpoints)
+    private static TestSidecar node(String cancel, String... endpoints) throws Exception {
+        return new TestSidecar(
+                TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024, endpoints)
                         .replace("\"cancel\":true", "\"cancel\":" + cancel),
                 LateSocket.class);
     }
 
     private static String born(String address, long at) {
-        return TestNode.host("s0", address, "ready").replace("\"born_ms\":0", "\"born_ms\":" + at);
+        return TestSidecar.host("s0", address, "ready").replace("\"born_ms\":0", "\"born_ms\":" + at);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"true", "false"})
     void aRequestWhoseClientLeftMeanwhileIsNotSent(String cancel) throws Exception {
         try (FakeServer e = new FakeServer(OK);
-                TestNode n = node(cancel, e.address())) {
+                TestSidecar n = node(cancel, e.address())) {
             Runnable comesUp;
             try (TestClient c = n.client()) {
                 c.send(TestClient.submit("50"));
                 comesUp = LateSocket.awaitConnect();
             }
-            n.await(() -> n.sidecar.held() == 0);
+            n.await(() -> n.sidecar.pendingCount() == 0);
             assertTheNextRequestIsTheFirst(e, n, comesUp);
         }
     }
@@ -48,18 +52,18 @@
     @ValueSource(strings = {"true", "false"})
     void aRequestThatWasFailedAtTheEndOfADrainIsNotSent(String cancel) throws Exception {
         try (FakeServer e = new FakeServer(OK);
-                TestNode n = node(cancel, e.address());
+                TestSidecar n = node(cancel, e.address());
                 TestClient c = n.client()) {
             c.send(TestClient.submit("50"));
             Runnable comesUp = LateSocket.awaitConnect();
-            n.group.next().submit(n.sidecar::failAll).get();
+            n.group.next().submit(n.sidecar::failPending).get();
             assertEquals(502, c.read().status());
             assertTheNextRequestIsTheFirst(e, n, comesUp);
         }
     }
 
     // The endpoint has paid for the connection: it is kept, and what was dropped did not go out on it.
-    private static void assertTheNextRequestIsTheFirst(FakeServer e, TestNode n, Runnable comesUp) throws Exception {
+    private static void assertTheNextRequestIsTheFirst(FakeServer e, TestSidecar n, Runnable comesUp) throws Exception {
         comesUp.run();
         e.awaitConnection();
         n.turn();
@@ -74,7 +78,7 @@
     @Test
     void aRequestWhoseTimeIsOverIsNotSentThoughTheLoopIsLate() throws Exception {
         try (FakeServer e = new FakeServer(OK);
-                TestNode n = node("true", e.address());
+                TestSidecar n = node("true", e.address());
                 TestClient c = n.client()) {
             c.send(TestClient.submit("50"));
             Runnable comesUp = LateSocket.awaitConnect();
@@ -99,18 +103,18 @@
     void nothingGoesToAnEndpointThatHasEndedMeanwhile(String what, boolean whole) throws Exception {
         try (FakeServer old = new FakeServer(OK);
                 FakeServer next = new FakeServer(OK);
-                TestNode n = node("true", old.address());
+                TestSidecar n = node("true", old.address());
                 TestClient c = n.client()) {
             c.send(TestClient.submit("50"));
             Runnable comesUp = LateSocket.awaitConnect();
             switch (what) {
-                case "draining", "gone" -> n.tell(whole, TestNode.host("s0", old.address(), what));
-                case "moved" -> n.tell(whole, TestNode.host("s0", next.address(), "ready"));
+                case "draining", "gone" -> n.tell(whole, TestSidecar.host("s0", old.address(), what));
+                case "moved" -> n.tell(whole, TestSidecar.host("s0", next.address(), "ready"));
                 case "reborn" -> n.tell(whole, born(old.address(), 1));
-                case "missing" -> n.tell(whole, TestNode.host("s1", next.address(), "ready"));
+                case "missing" -> n.tell(whole, TestSidecar.host("s1", next.address(), "ready"));
                 default -> {
-                    n.tell(whole, TestNode.host("s0", old.address(), "gone"));
-                    n.tell(whole, TestNode.host("s0", old.address(), "ready"));
+                    n.tell(whole, TestSidecar.host("s0", old.address(), "gone"));
+                    n.tell(whole, TestSidecar.host("s0", old.address(), "ready"));
                 }
             }
             comesUp.run();
@@ -125,7 +129,7 @@
         FakeServer.Script breaks = (r, w) -> w.reset();
         try (FakeServer e = new FakeServer(breaks);
                 FakeServer f = new FakeServer(breaks);
-                TestNode n = node("true", e.address(), f.address());
+                TestSidecar n = node("true", e.address(), f.address());
                 TestClient c = n.client()) {
             c.send(TestClient.pay("50"));
             LateSocket.awaitConnect().run();
--- a/src/test/java/cobaltrack/sidecar/RecordedWireTest.java
+++ b/src/test/java/loadbalancer/proxy/RecordedWireTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -14,6 +14,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -31,7 +33,7 @@
             + "Request-Class: status\r\nRequest-Timeout: 5\r\n";
 
     /** Sends a request on a connection of its own and returns all that comes until a pause or the end. */
-    private static String exchange(TestNode node, String request, boolean closes) throws IOException {
+    private static String exchange(TestSidecar node, String request, boolean closes) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), node.port)) {
             socket.setSoTimeout(FakeServer.PATIENCE_S * 1000);
             socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
@@ -72,7 +74,7 @@
         FakeServer.Script typed = (request, wire) ->
                 wire.answer("200 OK", "Content-Type: audio/ogg\r\nServer-Load: util=0.5\r\nX-Other: 1\r\n", "done");
         try (FakeServer endpoint = new FakeServer(typed);
-                TestNode node = new TestNode(FakeServer.refusing(), endpoint.address())) {
+                TestSidecar node = new TestSidecar(FakeServer.refusing(), endpoint.address())) {
             assertEquals(
                     "HTTP/1.1 200 OK\r\ncontent-length: 4\r\ncontent-type: audio/ogg\r\n\r\ndone",
                     exchange(node, STATUS + "\r\n", false));
@@ -85,17 +87,17 @@
     @Test
     void anEmptyAnswerWithoutATypeHasNone() throws Exception {
         try (FakeServer endpoint = new FakeServer((request, wire) -> wire.ok(""));
-                TestNode node = new TestNode(FakeServer.refusing(), endpoint.address())) {
+                TestSidecar node = new TestSidecar(FakeServer.refusing(), endpoint.address())) {
             assertEquals("HTTP/1.1 200 OK\r\n" + EMPTY + "\r\n", exchange(node, STATUS + "\r\n", false));
         }
     }
 
     @Test
     void aRejectedRequestGetsRetryAfterWhereSettingsAllowIt() throws Exception {
-        String config = TestNode.config("127.0.0.1:0", FakeServer.refusing(), 1024);
+        String config = TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024);
         String without = config.replace("\"retry_after\":true", "\"retry_after\":false");
-        try (TestNode node = new TestNode(config, NioSocketChannel.class);
-                TestNode quiet = new TestNode(without, NioSocketChannel.class)) {
+        try (TestSidecar node = new TestSidecar(config, NioSocketChannel.class);
+                TestSidecar quiet = new TestSidecar(without, NioSocketChannel.class)) {
             assertEquals(
                     "HTTP/1.1 503 Service Unavailable\r\n" + EMPTY + "retry-after: #\r\n\r\n",
                     exchange(node, STATUS + "\r\n", false));
@@ -109,7 +111,7 @@
         String submit = "POST /api HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\nRequest-Class: submit\r\n"
                 + "Content-Length: 3\r\n\r\nabc";
         try (FakeServer endpoint = new FakeServer((request, wire) -> wire.reset());
-                TestNode node = new TestNode(FakeServer.refusing(), endpoint.address())) {
+                TestSidecar node = new TestSidecar(FakeServer.refusing(), endpoint.address())) {
             assertEquals("HTTP/1.1 502 Bad Gateway\r\n" + EMPTY + "\r\n", exchange(node, submit, false));
         }
     }
@@ -126,7 +128,7 @@
                 "POST /api HTTP/1.1~Content-Length: 65537~~ | 413 Request Entity Too Large"
             })
     void aBadRequestGetsItsStatusAndAClose(String request, String status) throws Exception {
-        try (TestNode node = new TestNode(FakeServer.refusing())) {
+        try (TestSidecar node = new TestSidecar(FakeServer.refusing())) {
             assertEquals("HTTP/1.1 " + status + "\r\n" + CLOSED, exchange(node, request.replace("~", "\r\n"), true));
         }
     }
@@ -134,10 +136,10 @@
     @Test
     void readinessIs200AndIs503DuringShutdown() throws Exception {
         String ready = "GET /health/ready HTTP/1.1\r\n\r\n";
-        try (TestNode node = new TestNode(FakeServer.refusing())) {
+        try (TestSidecar node = new TestSidecar(FakeServer.refusing())) {
             assertEquals("HTTP/1.1 200 OK\r\n" + EMPTY + "\r\n", exchange(node, ready, false));
             node.call(() -> {
-                node.server.drain(() -> {});
+                node.server.shutDown(() -> {});
                 return null;
             });
             assertEquals("HTTP/1.1 503 Service Unavailable\r\n" + EMPTY + "\r\n", exchange(node, ready, false));
@@ -148,7 +150,7 @@
     void anExpectationOfContinueIsConfirmedAndAnotherIgnored() throws Exception {
         String submit = "POST /api HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\nRequest-Class: submit\r\n"
                 + "Content-Length: 3\r\nExpect: ";
-        try (TestNode node = new TestNode(FakeServer.refusing())) {
+        try (TestSidecar node = new TestSidecar(FakeServer.refusing())) {
             assertEquals("HTTP/1.1 100 Continue\r\n\r\n", exchange(node, submit + "100-continue\r\n\r\n", false));
             assertEquals(
                     "HTTP/1.1 503 Service Unavailable\r\n" + EMPTY + "retry-after: #\r\n\r\n",
@@ -176,7 +178,7 @@
             })
     void anEndpointGetsTheCheckedFieldsOnly(String request, String forwarded) throws Exception {
         try (ServerSocket endpoint = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                TestNode node = new TestNode(FakeServer.refusing(), "127.0.0.1:" + endpoint.getLocalPort())) {
+                TestSidecar node = new TestSidecar(FakeServer.refusing(), "127.0.0.1:" + endpoint.getLocalPort())) {
             CompletableFuture<String> received = CompletableFuture.supplyAsync(() -> {
                 try (Socket socket = endpoint.accept()) {
                     String message = readMessage(socket);
@@ -197,11 +199,11 @@
         try (ServerSocket discovery = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             discovery.setSoTimeout(FakeServer.PATIENCE_S * 1000);
             String address = "127.0.0.1:" + discovery.getLocalPort();
-            String known = TestNode.config("127.0.0.1:0", address, 1024);
+            String known = TestSidecar.config("127.0.0.1:0", address, 1024);
             String unknown = known.replace("\"known\"", "\"other\"");
             String host = " HTTP/1.1\r\nhost: " + address + "\r\n\r\n";
             for (String config : new String[] {known, unknown}) {
-                try (TestNode node = new TestNode(config, NioSocketChannel.class);
+                try (TestSidecar node = new TestSidecar(config, NioSocketChannel.class);
                         Socket watch = discovery.accept()) {
                     String query = config.equals(known) ? "?watch=1&after=41" : "?watch=1";
                     assertEquals("GET /registry/instances" + query + host, readMessage(watch));
--- a/src/test/java/cobaltrack/sidecar/WallClockTest.java
+++ b/src/test/java/loadbalancer/proxy/WallClockTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.proxy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,6 +7,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestClient;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -20,7 +23,7 @@
     void aRequestIsNeitherFailedEarlyNorHeldLonger(long step) throws Exception {
         BlockingQueue<FakeServer.Wire> wires = new LinkedBlockingQueue<>();
         try (FakeServer e = new FakeServer((r, w) -> wires.add(w));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             c.send(TestClient.submit("50"));
             FakeServer.Wire first = wires.take();
@@ -42,12 +45,12 @@
         CountDownLatch drained = new CountDownLatch(1);
         BlockingQueue<FakeServer.Wire> wires = new LinkedBlockingQueue<>();
         try (FakeServer e = new FakeServer((r, w) -> wires.add(w));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
                 TestClient c = n.client()) {
             c.send(TestClient.submit("50"));
             FakeServer.Wire held = wires.take();
             n.call(() -> {
-                n.server.drain(drained::countDown);
+                n.server.shutDown(drained::countDown);
                 n.stepWallClock(step);
                 return null;
             });
@@ -63,14 +66,14 @@
     void aServerThatStartsAfterTheStepIsInItsSlowStart(long step) throws Exception {
         try (FakeServer warm = new FakeServer(OK);
                 FakeServer cold = new FakeServer(OK);
-                TestNode n = new TestNode(FakeServer.refusing(), warm.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), warm.address());
                 TestClient c = n.client()) {
             for (int i = 0; i < ASKED; i++) {
                 c.ask(TestClient.status("5"));
             }
             assertTrue(warm.requests.size() > ASKED / 2, "the warm one got " + warm.requests.size());
             n.stepWallClock(step);
-            String started = TestNode.host("s1", cold.address(), "ready")
+            String started = TestSidecar.host("s1", cold.address(), "ready")
                     .replace("\"born_ms\":0", "\"born_ms\":" + n.wallClock());
             n.tell(true, started);
             for (int i = 0; i < ASKED; i++) {
--- a/src/test/java/cobaltrack/benchlink/RecordedTranscriptTest.java
+++ b/src/test/java/loadbalancer/simulator/RecordedTranscriptTest.java
@@ -1,9 +1,9 @@
-package cobaltrack.benchlink;
+package loadbalancer.simulator;
 
-import cobaltrack.RecordedBehaviour;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
+import loadbalancer.testing.RecordedBehaviour;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -21,7 +21,7 @@
         }
         byte[] input = RecordedBehaviour.read(name + ".in").getBytes(StandardCharsets.UTF_8);
         ByteArrayOutputStream output = new ByteArrayOutputStream();
-        new Link(new ByteArrayInputStream(input), output).run();
+        new SimulatorConnection(new ByteArrayInputStream(input), output).run();
         RecordedBehaviour.assertUnchanged(name + ".out", output.toString(StandardCharsets.UTF_8));
     }
 }
--- a/src/test/java/cobaltrack/benchlink/LinkTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorConnectionTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.benchlink;
+package loadbalancer.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The adapter: good batches are answered, bad ones name the line and the field. */
-class LinkTest {
+class SimulatorConnectionTest {
     private static final String BOOT = "classes.count=1 classes.0.name=get classes.0.effect=idempotent "
             + "classes.0.slo=500.0 classes.0.deadline=2000.0 classes.0.value=1.0 classes.0.late_worth=0.0 "
             + "discovery=push peers_total=3 ordinal=0 reporting.how=off unknown.key=1 "
@@ -27,7 +27,7 @@
 
     private static String play(String text) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Link(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), out).run();
+        new SimulatorConnection(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), out).run();
         return out.toString(StandardCharsets.UTF_8);
     }
 
@@ -74,8 +74,8 @@
                 "tick 20.0 2~eo | line"
             })
     void badInputNamesTheLineAndTheField(String text, String field) {
-        WireException e =
-                assertThrows(WireException.class, () -> play(UP + text.strip().replace('~', '\n')));
+        WireFormatException e = assertThrows(
+                WireFormatException.class, () -> play(UP + text.strip().replace('~', '\n')));
         assertTrue(e.getMessage().startsWith("line "), e.getMessage());
         assertTrue(e.getMessage().contains("field " + field + ":"), e.getMessage());
         assertFalse(e.getMessage().contains("\n"));
@@ -92,7 +92,7 @@
         "classes.count=1,classes.count=2,classes.1.effect"
     })
     void badSettingsNameTheKey(String good, String bad, String key) {
-        WireException e = assertThrows(WireException.class, () -> play(UP.replace(good, bad)));
+        WireFormatException e = assertThrows(WireFormatException.class, () -> play(UP.replace(good, bad)));
         assertTrue(e.getMessage().contains(key), e.getMessage());
     }
 
--- a/src/test/java/cobaltrack/benchlink/SimulatorDriver.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorDriver.java
@@ -1,4 +1,4 @@
-package cobaltrack.benchlink;
+package loadbalancer.simulator;
 
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
@@ -61,7 +61,7 @@
                 var reader = new BufferedReader(new InputStreamReader(fromAdapter, StandardCharsets.UTF_8))) {
             CompletableFuture<Void> adapter = CompletableFuture.runAsync(() -> {
                 try {
-                    new Link(toAdapter, replies).run();
+                    new SimulatorConnection(toAdapter, replies).run();
                 } catch (IOException e) {
                     throw new UncheckedIOException(e);
                 }
--- a/src/test/java/cobaltrack/sidecar/FailingSocket.java
+++ b/src/test/java/loadbalancer/testing/FailingSocket.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.testing;
 
 import io.netty.channel.ChannelOutboundBuffer;
 import io.netty.channel.socket.nio.NioSocketChannel;
@@ -10,7 +10,7 @@
 /** A socket on which one kind of system call fails for as long as the test wants. */
 public final class FailingSocket extends NioSocketChannel {
     /** The calls that can fail. */
-    enum Call {
+    public enum Call {
         NONE,
         CONNECT,
         FINISH_CONNECT,
@@ -18,13 +18,13 @@
     }
 
     /** How many calls have failed so. */
-    static final AtomicInteger FAILED = new AtomicInteger();
+    public static final AtomicInteger FAILED = new AtomicInteger();
 
     private static final AtomicReference<Call> FAILING = new AtomicReference<>(Call.NONE);
     private static volatile String message = "";
 
     /** From now on such calls fail, with this message of the system. */
-    static void fail(Call call, String how) {
+    public static void fail(Call call, String how) {
         FAILED.set(0);
         message = how;
         FAILING.set(call);
--- a/src/test/java/cobaltrack/sidecar/FakeServer.java
+++ b/src/test/java/loadbalancer/testing/FakeServer.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.testing;
 
 import java.io.BufferedInputStream;
 import java.io.IOException;
@@ -18,45 +18,46 @@
 import java.util.concurrent.TimeUnit;
 
 /** A small HTTP server on loopback, as an endpoint or as discovery, that does what a script says. */
-final class FakeServer implements AutoCloseable {
-    static final int PATIENCE_S = 20;
+public final class FakeServer implements AutoCloseable {
+    public static final int PATIENCE_S = 20;
 
     /** What came in, read whole. */
-    record Request(String line, Map<String, String> headers, byte[] body) {}
+    public record Request(String line, Map<String, String> headers, byte[] body) {}
 
     /** A connection that the script may answer on, leave silent or break. */
-    record Wire(Socket socket) {
-        void text(String raw) throws IOException {
+    public record Wire(Socket socket) {
+        public void text(String raw) throws IOException {
             OutputStream out = socket.getOutputStream();
             out.write(raw.getBytes(StandardCharsets.UTF_8));
             out.flush();
         }
 
         /** One chunk of an answer in chunks. */
-        void chunk(String content) throws IOException {
+        public void chunk(String content) throws IOException {
             text(Integer.toHexString(content.length()) + "\r\n" + content + "\r\n");
         }
 
-        void answer(String status, String headers, String body) throws IOException {
+        public void answer(String status, String headers, String body) throws IOException {
             text("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n" + headers + "\r\n" + body);
         }
 
-        void ok(String body) throws IOException {
+        public void ok(String body) throws IOException {
             answer("200 OK", "", body);
         }
 
         /** Breaks the connection with a reset. */
-        void reset() throws IOException {
+        public void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
         }
     }
 
-    interface Script {
+    /** What the server does with each request. */
+    public interface Script {
         void on(Request request, Wire wire) throws IOException;
     }
 
-    final List<Request> requests = new CopyOnWriteArrayList<>();
+    public final List<Request> requests = new CopyOnWriteArrayList<>();
     private final BlockingQueue<Request> arrived = new LinkedBlockingQueue<>();
     private final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
     private final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
@@ -64,37 +65,37 @@
     private final ServerSocket listener;
     private volatile Script script;
 
-    FakeServer(Script script) throws IOException {
+    public FakeServer(Script script) throws IOException {
         this(InetAddress.getLoopbackAddress(), 0, script);
     }
 
     /** A server at this address and port, which are free. */
-    FakeServer(InetAddress at, int port, Script script) throws IOException {
+    public FakeServer(InetAddress at, int port, Script script) throws IOException {
         this.script = script;
         this.listener = new ServerSocket(port, 50, at);
         daemon(this::accept);
     }
 
     /** An address where nothing listens. */
-    static String refusing() throws IOException {
+    public static String refusing() throws IOException {
         try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return "127.0.0.1:" + s.getLocalPort();
         }
     }
 
-    void script(Script next) {
+    public void script(Script next) {
         script = next;
     }
 
-    String address() {
+    public String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    int connections() {
+    public int connections() {
         return sockets.size();
     }
 
-    Request awaitRequest() throws InterruptedException {
+    public Request awaitRequest() throws InterruptedException {
         Request r = arrived.poll(PATIENCE_S, TimeUnit.SECONDS);
         if (r == null) {
             throw new AssertionError("no request came");
@@ -103,14 +104,14 @@
     }
 
     /** Waits until a connection has come up. */
-    void awaitConnection() throws InterruptedException {
+    public void awaitConnection() throws InterruptedException {
         if (accepted.poll(PATIENCE_S, TimeUnit.SECONDS) == null) {
             throw new AssertionError("no connection came up");
         }
     }
 
     /** Waits until the other side has closed a connection. */
-    void awaitEnd() throws InterruptedException {
+    public void awaitEnd() throws InterruptedException {
         if (ended.poll(PATIENCE_S, TimeUnit.SECONDS) == null) {
             throw new AssertionError("no connection was closed");
         }
@@ -170,7 +171,7 @@
         return body.length < length ? null : new Request(line, headers, body);
     }
 
-    static String line(InputStream in) throws IOException {
+    public static String line(InputStream in) throws IOException {
         StringBuilder b = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0) {
--- a/src/test/java/cobaltrack/sidecar/LateSocket.java
+++ b/src/test/java/loadbalancer/testing/LateSocket.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.testing;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelOutboundHandlerAdapter;
@@ -14,12 +14,12 @@
 public final class LateSocket extends NioSocketChannel {
     private static final BlockingQueue<Runnable> HELD = new LinkedBlockingQueue<>();
 
-    static void forget() {
+    public static void forget() {
         HELD.clear();
     }
 
     /** Waits until a connection has been begun; what it returns lets that one go on. */
-    static Runnable awaitConnect() throws InterruptedException {
+    public static Runnable awaitConnect() throws InterruptedException {
         Runnable go = HELD.poll(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
         if (go == null) {
             throw new AssertionError("no connection was begun");
@@ -27,7 +27,7 @@
         return go;
     }
 
-    static int waiting() {
+    public static int waiting() {
         return HELD.size();
     }
 
--- a/src/test/java/cobaltrack/RecordedBehaviour.java
+++ b/src/test/java/loadbalancer/testing/RecordedBehaviour.java
@@ -1,4 +1,4 @@
-package cobaltrack;
+package loadbalancer.testing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/src/test/java/cobaltrack/sidecar/TestClient.java
+++ b/src/test/java/loadbalancer/testing/TestClient.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.testing;
 
 import java.io.BufferedInputStream;
 import java.io.EOFException;
@@ -12,25 +12,26 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** The application: one connection to a sidecar. */
-final class TestClient implements AutoCloseable {
-    record Answer(int status, Map<String, String> headers, String body) {}
+public final class TestClient implements AutoCloseable {
+    /** A response of the sidecar. */
+    public record Answer(int status, Map<String, String> headers, String body) {}
 
     private static final AtomicInteger IDS = new AtomicInteger();
     private final Socket socket;
     private final InputStream in;
 
-    TestClient(int port) throws IOException {
+    public TestClient(int port) throws IOException {
         socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setSoTimeout(FakeServer.PATIENCE_S * 1000);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    void send(String text) throws IOException {
+    public void send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
     /** Leaves by a {@code reset}, by ending its sending ({@code half}) or else by a full close. */
-    void leave(String how) throws IOException {
+    public void leave(String how) throws IOException {
         switch (how) {
             case "half" -> socket.shutdownOutput();
             case "reset" -> {
@@ -41,30 +42,30 @@
         }
     }
 
-    static String status(String timeout) {
+    public static String status(String timeout) {
         return "GET /api?obj=k HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: r" + IDS.getAndIncrement()
                 + "\r\nRequest-Class: status\r\nRequest-Timeout: " + timeout + "\r\n\r\n";
     }
 
-    static String submit(String timeout) {
+    public static String submit(String timeout) {
         return "POST /api HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: r" + IDS.getAndIncrement()
                 + "\r\nRequest-Class: submit\r\nRequest-Timeout: " + timeout + "\r\nContent-Length: 3\r\n\r\nabc";
     }
 
-    static String pay(String timeout) {
+    public static String pay(String timeout) {
         int id = IDS.getAndIncrement();
         return "POST /api HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: r" + id
                 + "\r\nRequest-Class: pay\r\nIdempotency-Key: k" + id + "\r\nRequest-Timeout: " + timeout
                 + "\r\nContent-Length: 3\r\n\r\nabc";
     }
 
-    Answer ask(String text) throws IOException {
+    public Answer ask(String text) throws IOException {
         send(text);
         return read();
     }
 
     /** The next answer, read whole; null if the connection ended before it began. */
-    Answer read() throws IOException {
+    public Answer read() throws IOException {
         String line = FakeServer.line(in);
         if (line == null) {
             return null;
--- a/src/test/java/cobaltrack/sidecar/TestNode.java
+++ b/src/test/java/loadbalancer/testing/TestSidecar.java
@@ -1,6 +1,5 @@
-package cobaltrack.sidecar;
+package loadbalancer.testing;
 
-import cobaltrack.Contract;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoopGroup;
@@ -10,26 +9,36 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
+import loadbalancer.configuration.Configuration;
+import loadbalancer.discovery.DiscoveryClient;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.downstream.ClientServer;
+import loadbalancer.eventloop.Clock;
+import loadbalancer.eventloop.EventLoops;
+import loadbalancer.eventloop.LoopActivity;
+import loadbalancer.lifecycle.SidecarComponents;
+import loadbalancer.policy.WatchEvent;
+import loadbalancer.proxy.RequestDispatcher;
 
 /** A whole sidecar in this process, on a free port, from a configuration as the platform gives it. */
-final class TestNode implements AutoCloseable {
-    final LoopActivity activity = new LoopActivity();
-    final EventLoopGroup group = Main.eventLoop(activity).parent();
-    final ClientServer server;
-    final Sidecar sidecar;
-    final Discovery watch;
-    final int port;
-    final Channel listener;
+public final class TestSidecar implements AutoCloseable {
+    public final LoopActivity activity = new LoopActivity();
+    public final EventLoopGroup group = EventLoops.newEventLoop(activity).parent();
+    public final ClientServer server;
+    public final RequestDispatcher sidecar;
+    public final DiscoveryClient watch;
+    public final int port;
+    public final Channel listener;
     private final AtomicLong ahead = new AtomicLong();
     private final AtomicLong wallStep = new AtomicLong();
 
     /** A sidecar with plenty of sockets that knows these endpoints, named s0, s1 and so on. */
-    TestNode(String discovery, String... endpoints) throws Exception {
+    public TestSidecar(String discovery, String... endpoints) throws Exception {
         this(1024, discovery, "ask", endpoints);
     }
 
     /** A sidecar with so many sockets, whose list is asked for or pushed. */
-    TestNode(int sockets, String discovery, String how, String... endpoints) throws Exception {
+    public TestSidecar(int sockets, String discovery, String how, String... endpoints) throws Exception {
         this(
                 config("127.0.0.1:0", discovery, sockets, endpoints)
                         .replace("\"discovery\":\"ask\"", "\"discovery\":\"" + how + "\""),
@@ -37,31 +46,31 @@
     }
 
     /** A sidecar of this configuration, with this kind of connections to endpoints. */
-    TestNode(String json, Class<? extends Channel> channels) throws Exception {
+    public TestSidecar(String json, Class<? extends Channel> channels) throws Exception {
         ObjectMapper mapper = new ObjectMapper();
-        Config config = Config.parse(json, mapper);
+        Configuration config = Configuration.parse(json, mapper);
         var loop = group.next();
         Clock clock = new Clock(() -> System.nanoTime() + ahead.get(), this::wallClock);
-        Main.Parts parts = Main.wire(config, mapper, loop, clock, channels);
+        SidecarComponents parts = SidecarComponents.create(config, mapper, loop, clock, channels, System.err::println);
         server = parts.server();
-        sidecar = parts.sidecar();
+        sidecar = parts.dispatcher();
         watch = parts.discovery();
-        listener = server.listen(config.listen()).sync().channel();
+        listener = server.listen(config.listenAddress()).sync().channel();
         port = ((InetSocketAddress) listener.localAddress()).getPort();
         loop.submit(parts.start()).get();
     }
 
-    static String host(String name, String address, String health) {
+    public static String host(String name, String address, String health) {
         return """
                 {"host":"%s","dial":"%s","site":"a","class":"m","block":0,"health":"%s","share":1.0,"born_ms":0}"""
                 .formatted(name, address, health);
     }
 
-    static String list(long seq, boolean whole, String... hosts) {
+    public static String list(long seq, boolean whole, String... hosts) {
         return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"extra\":1,\"hosts\":[" + String.join(",", hosts) + "]}";
     }
 
-    static String config(String listen, String discovery, int sockets, String... endpoints) throws IOException {
+    public static String config(String listen, String discovery, int sockets, String... endpoints) throws IOException {
         String[] hosts = new String[endpoints.length];
         for (int i = 0; i < hosts.length; i++) {
             hosts[i] = host("s" + i, endpoints[i], "ready");
@@ -84,31 +93,31 @@
     }
 
     /** Sets the clock on, by so many milliseconds; timers that run go on as they are. */
-    void advance(long millis) {
+    public void advance(long millis) {
         ahead.addAndGet(TimeUnit.MILLISECONDS.toNanos(millis));
     }
 
     /** Steps the wall clock by so many milliseconds, forward or back; the monotonic one runs on. */
-    void stepWallClock(long millis) {
+    public void stepWallClock(long millis) {
         wallStep.addAndGet(millis);
     }
 
     /** The wall clock's Unix time in milliseconds. */
-    long wallClock() {
+    public long wallClock() {
         return System.currentTimeMillis() + TimeUnit.NANOSECONDS.toMillis(ahead.get()) + wallStep.get();
     }
 
     /** Waits until all that the loop was given before has been done. */
-    void turn() throws Exception {
+    public void turn() throws Exception {
         call(() -> null);
     }
 
-    <T> T call(Callable<T> task) throws Exception {
+    public <T> T call(Callable<T> task) throws Exception {
         return group.next().submit(task).get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
     }
 
     /** Waits on the loop for what must come true. */
-    void await(Callable<Boolean> condition) throws Exception {
+    public void await(Callable<Boolean> condition) throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.PATIENCE_S);
         while (!call(condition)) {
             if (System.nanoTime() > until) {
@@ -119,15 +128,15 @@
     }
 
     /** Tells the sidecar a list, as discovery would. */
-    void tell(boolean whole, String... hosts) throws Exception {
+    public void tell(boolean whole, String... hosts) throws Exception {
         EndpointList list = EndpointList.parse(new ObjectMapper().readTree(list(50, whole, hosts)));
         call(() -> {
-            sidecar.list(whole ? Contract.ListKind.FULL : Contract.ListKind.CHANGES, list);
+            sidecar.endpointsReceived(whole ? WatchEvent.SNAPSHOT : WatchEvent.DELTA, list);
             return null;
         });
     }
 
-    TestClient client() throws IOException {
+    public TestClient client() throws IOException {
         return new TestClient(port);
     }
 
--- a/src/test/java/cobaltrack/sidecar/EndlessAnswerTest.java
+++ b/src/test/java/loadbalancer/upstream/EndlessAnswerTest.java
@@ -1,10 +1,13 @@
-package cobaltrack.sidecar;
+package loadbalancer.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
 import java.util.stream.Stream;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestClient;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -63,11 +66,11 @@
             throws Exception {
         try (FakeServer e = new FakeServer(endless(first, piece, pause));
                 FakeServer f = new FakeServer(endless(first, piece, pause));
-                TestNode n = new TestNode(FakeServer.refusing(), e.address(), f.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address(), f.address());
                 TestClient c = n.client()) {
             TestClient.Answer a = c.ask(request(type, timeout));
             assertTrue(a.status() == 502 || a.status() == 503 && !type.equals("submit"), "answered " + a.status());
-            n.await(() -> n.sidecar.held() == 0);
+            n.await(() -> n.sidecar.pendingCount() == 0);
             int sent = e.requests.size() + f.requests.size();
             assertTrue(sent >= 1 && (sent == 1 || !type.equals("submit")), "sent " + sent);
             // Each attempt has ended with its connection, and no second answer comes before the next one.
@@ -89,7 +92,7 @@
         };
         try (FakeServer e = new FakeServer(reset);
                 FakeServer f = new FakeServer(reset);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address(), f.address());
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address(), f.address());
                 TestClient c = n.client()) {
             assertEquals(502, c.ask(TestClient.submit("50")).status());
             assertEquals(1, e.requests.size() + f.requests.size());
--- a/src/test/java/cobaltrack/sidecar/EndpointPoolTest.java
+++ b/src/test/java/loadbalancer/upstream/EndpointPoolTest.java
@@ -1,9 +1,8 @@
-package cobaltrack.sidecar;
+package loadbalancer.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cobaltrack.Contract;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -19,11 +18,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
+import loadbalancer.discovery.EndpointList;
+import loadbalancer.eventloop.Clock;
+import loadbalancer.policy.AttemptOutcome;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.EndpointStatus;
+import loadbalancer.policy.LoadReport;
+import loadbalancer.testing.FakeServer;
 import org.junit.jupiter.api.Test;
 
 /** The pool when there are no descriptors left, and when more comes than an answer. */
-class EndpointPoolTest {
-    static final AtomicBoolean EXHAUSTED = new AtomicBoolean();
+public class EndpointPoolTest {
+    public static final AtomicBoolean EXHAUSTED = new AtomicBoolean();
 
     /** A socket that can't be made while there are no descriptors. */
     public static final class ScarceChannel extends NioSocketChannel {
@@ -45,15 +51,15 @@
                             1,
                             true,
                             List.of(new EndpointList.Entry(
-                                    new Contract.Server("s", Contract.Standing.UP, 1, "a", 0, 0),
+                                    new Endpoint("s", EndpointStatus.READY, 1, "a", 0, 0),
                                     EndpointList.address(e.address()))))))
                     .get();
             EXHAUSTED.set(true);
             for (int i = 0; i < 3; i++) {
-                assertEquals(Contract.Outcome.CONNECT_FAILED, send(loop, pool));
+                assertEquals(AttemptOutcome.CONNECT_FAILED, send(loop, pool));
             }
             EXHAUSTED.set(false);
-            assertEquals(Contract.Outcome.SERVED, send(loop, pool));
+            assertEquals(AttemptOutcome.SUCCESS, send(loop, pool));
             assertEquals(1, e.requests.size());
         } finally {
             loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -71,28 +77,28 @@
                             1,
                             true,
                             List.of(new EndpointList.Entry(
-                                    new Contract.Server("s", Contract.Standing.UP, 1, "a", 0, 0),
+                                    new Endpoint("s", EndpointStatus.READY, 1, "a", 0, 0),
                                     EndpointList.address(e.address()))))))
                     .get();
-            CompletableFuture<Contract.Outcome> first = begin(loop, pool);
-            CompletableFuture<Contract.Outcome> second = begin(loop, pool);
+            CompletableFuture<AttemptOutcome> first = begin(loop, pool);
+            CompletableFuture<AttemptOutcome> second = begin(loop, pool);
             FakeServer.Wire one = wires.take();
             one.ok("done");
             wires.take().ok("done");
-            assertEquals(Contract.Outcome.SERVED, first.get(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
-            assertEquals(Contract.Outcome.SERVED, second.get(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
+            assertEquals(AttemptOutcome.SUCCESS, first.get(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
+            assertEquals(AttemptOutcome.SUCCESS, second.get(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
             one.ok("again");
             e.awaitEnd();
             e.script((r, w) -> w.ok("done"));
             // Whether the other connection is at rest by now, idle, or gone.
             for (int i = 3; i < 30; i++) {
-                assertEquals(Contract.Outcome.SERVED, send(loop, pool));
+                assertEquals(AttemptOutcome.SUCCESS, send(loop, pool));
                 assertEquals(i, e.connections());
                 Thread.sleep(4);
             }
             nanos.addAndGet(TimeUnit.SECONDS.toNanos(30));
             for (int i = 0; e.requests.size() == e.connections() && i < 2000; i++) {
-                assertEquals(Contract.Outcome.SERVED, send(loop, pool));
+                assertEquals(AttemptOutcome.SUCCESS, send(loop, pool));
                 Thread.sleep(1);
             }
             assertTrue(e.requests.size() > e.connections(), "used again after that");
@@ -101,12 +107,12 @@
         }
     }
 
-    private static Contract.Outcome send(EventLoop loop, EndpointPool pool) throws Exception {
+    private static AttemptOutcome send(EventLoop loop, EndpointPool pool) throws Exception {
         return begin(loop, pool).get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
     }
 
-    private static CompletableFuture<Contract.Outcome> begin(EventLoop loop, EndpointPool pool) {
-        CompletableFuture<Contract.Outcome> ended = new CompletableFuture<>();
+    private static CompletableFuture<AttemptOutcome> begin(EventLoop loop, EndpointPool pool) {
+        CompletableFuture<AttemptOutcome> ended = new CompletableFuture<>();
         loop.execute(() -> pool.send("s", new EndpointAttempt.Listener() {
             @Override
             public FullHttpRequest request() {
@@ -114,7 +120,7 @@
             }
 
             @Override
-            public void ended(Contract.Outcome outcome, EndpointAttempt.Answer answer, Contract.Report report) {
+            public void attemptEnded(AttemptOutcome outcome, UpstreamResponse answer, LoadReport report) {
                 ended.complete(outcome);
             }
         }));
--- a/src/test/java/cobaltrack/sidecar/FailingSystemCallTest.java
+++ b/src/test/java/loadbalancer/upstream/FailingSystemCallTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,6 +9,12 @@
 import java.io.IOException;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
+import loadbalancer.protocol.ProtocolLimits;
+import loadbalancer.proxy.CrossingTest;
+import loadbalancer.testing.FailingSocket;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestClient;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -27,9 +33,9 @@
         FailingSocket.fail(FailingSocket.Call.NONE, "");
     }
 
-    private static TestNode node(String... endpoints) throws Exception {
-        return new TestNode(
-                TestNode.config("127.0.0.1:0", FakeServer.refusing(), 1024, endpoints), FailingSocket.class);
+    private static TestSidecar node(String... endpoints) throws Exception {
+        return new TestSidecar(
+                TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024, endpoints), FailingSocket.class);
     }
 
     @ParameterizedTest
@@ -47,7 +53,7 @@
             throws Exception {
         try (FakeServer e = new FakeServer(OK);
                 FakeServer f = new FakeServer(OK);
-                TestNode n = node(e.address(), f.address());
+                TestSidecar n = node(e.address(), f.address());
                 TestClient c = n.client()) {
             FailingSocket.fail(call, how);
             for (int i = 0; i < ASKED; i++) {
@@ -56,14 +62,14 @@
             assertTrue(FailingSocket.FAILED.get() > 0);
             assertTrue(FailingSocket.FAILED.get() <= ASKED * MAX_ATTEMPTS, "failed " + FailingSocket.FAILED);
             assertEquals(0, e.requests.size() + f.requests.size());
-            n.await(() -> n.sidecar.held() == 0);
+            n.await(() -> n.sidecar.pendingCount() == 0);
             FailingSocket.fail(FailingSocket.Call.NONE, "");
             assertServedAgain(n, c);
         }
     }
 
     // The endpoints' percentages have risen and fall while the clock runs on.
-    private static void assertServedAgain(TestNode n, TestClient c) throws Exception {
+    private static void assertServedAgain(TestSidecar n, TestClient c) throws Exception {
         int status = 0;
         for (int i = 0; status != 200 && i < 2000; i++) {
             n.advance(100);
@@ -83,7 +89,7 @@
             })
     void anAcceptThatFailsLeavesTheListenerAndMakesNoLoop(String how) throws Exception {
         try (FakeServer e = new FakeServer(OK);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address())) {
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address())) {
             long before = n.call(() -> {
                 n.listener.pipeline().fireExceptionCaught(new IOException(how));
                 return n.activity.turns();
@@ -112,7 +118,7 @@
     void aClientWhoseConnectionBreaksHasLeft(String how) throws Exception {
         Accepted accepted = new Accepted();
         try (FakeServer e = new FakeServer((r, w) -> {});
-                TestNode n = new TestNode(FakeServer.refusing(), e.address())) {
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address())) {
             n.call(() -> n.listener.pipeline().addFirst(accepted));
             try (TestClient c = n.client()) {
                 c.send(TestClient.submit("50"));
@@ -120,7 +126,7 @@
                 Channel broken = accepted.channels.take();
                 n.call(() -> broken.pipeline().fireExceptionCaught(new IOException(how)));
                 e.awaitEnd();
-                n.await(() -> n.sidecar.held() == 0 && n.server.connections() == 0);
+                n.await(() -> n.sidecar.pendingCount() == 0 && n.server.connections() == 0);
             }
             assertEquals(1, e.requests.size());
         }
@@ -129,11 +135,11 @@
     @Test
     void aRequestThatIsWrittenInManyShortWritesArrivesWhole() throws Exception {
         try (FakeServer e = new FakeServer(OK);
-                TestNode n = new TestNode(
-                        TestNode.config("127.0.0.1:0", FakeServer.refusing(), 1024, e.address()),
+                TestSidecar n = new TestSidecar(
+                        TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024, e.address()),
                         CrossingTest.NarrowSocket.class);
                 TestClient c = n.client()) {
-            String body = "x".repeat(ResponseAssembler.MAX_BODY_BYTES);
+            String body = "x".repeat(ProtocolLimits.MAX_BODY_BYTES);
             assertEquals(
                     200,
                     c.ask(TestClient.submit("50")
--- a/src/test/java/cobaltrack/sidecar/RandomEndingsTest.java
+++ b/src/test/java/loadbalancer/upstream/RandomEndingsTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -14,6 +14,9 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestClient;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -61,7 +64,7 @@
         }
     }
 
-    private Void ask(TestNode node) throws Exception {
+    private Void ask(TestSidecar node) throws Exception {
         try (TestClient client = node.client()) {
             for (int i = 0; i < REQUESTS_EACH; i++) {
                 String request = TestClient.submit("50");
@@ -93,7 +96,7 @@
         try (FakeServer e = new FakeServer(script);
                 FakeServer f = new FakeServer(script);
                 FakeServer g = new FakeServer(script);
-                TestNode n = new TestNode(FakeServer.refusing(), e.address(), f.address(), g.address())) {
+                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address(), f.address(), g.address())) {
             List<Future<Void>> asking = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 asking.add(clients.submit(() -> ask(n)));
@@ -101,7 +104,7 @@
             for (Future<Void> one : asking) {
                 one.get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
             }
-            n.await(() -> n.sidecar.held() == 0);
+            n.await(() -> n.sidecar.pendingCount() == 0);
             assertTrue(served.get() > 0);
         } finally {
             clients.shutdownNow();
--- a/src/test/java/cobaltrack/sidecar/ResponseWithoutLengthTest.java
+++ b/src/test/java/loadbalancer/upstream/ResponseWithoutLengthTest.java
@@ -1,4 +1,4 @@
-package cobaltrack.sidecar;
+package loadbalancer.upstream;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -20,6 +20,11 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import loadbalancer.protocol.ProtocolLimits;
+import loadbalancer.proxy.CrossingTest;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestClient;
+import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -60,19 +65,19 @@
         };
     }
 
-    private static TestNode node(String... endpoints) throws Exception {
-        return new TestNode(FakeServer.refusing(), endpoints);
+    private static TestSidecar node(String... endpoints) throws Exception {
+        return new TestSidecar(FakeServer.refusing(), endpoints);
     }
 
     /** What an unsafe request to the only endpoint is answered; it is sent once, and its connection is closed. */
     private static TestClient.Answer askOnce(FakeServer.Script script) throws Exception {
         try (FakeServer e = new FakeServer(script);
-                TestNode n = node(e.address());
+                TestSidecar n = node(e.address());
                 TestClient c = n.client()) {
             TestClient.Answer answer = c.ask(TestClient.submit("50"));
             e.awaitEnd();
             assertEquals(1, e.requests.size());
-            n.await(() -> n.sidecar.held() == 0);
+            n.await(() -> n.sidecar.pendingCount() == 0);
             return answer;
         }
     }
@@ -116,7 +121,7 @@
     void eachOneHasAConnectionOfItsOwn() throws Exception {
         // With room for one connection to all endpoints, each has to be released before the next.
         try (FakeServer e = new FakeServer(thenClose(HEAD + "done"));
-                TestNode n = new TestNode(4, FakeServer.refusing(), "ask", e.address());
+                TestSidecar n = new TestSidecar(4, FakeServer.refusing(), "ask", e.address());
                 TestClient c = n.client()) {
             for (int i = 1; i <= 20; i++) {
                 assertServed("done", c.ask(TestClient.submit("50")));
@@ -136,7 +141,7 @@
     private static void assertServedInOneTurn(String text, String body) throws Exception {
         BlockingQueue<FakeServer.Wire> wires = new LinkedBlockingQueue<>();
         try (FakeServer e = new FakeServer((r, w) -> wires.add(w));
-                TestNode n = node(e.address());
+                TestSidecar n = node(e.address());
                 TestClient c = n.client()) {
             c.send(TestClient.submit("50"));
             FakeServer.Wire w = wires.take();
@@ -154,7 +159,7 @@
     void itMayPauseForLessThanAStall(long pause, int status) throws Exception {
         BlockingQueue<FakeServer.Wire> wires = new LinkedBlockingQueue<>();
         try (FakeServer e = new FakeServer((r, w) -> wires.add(w));
-                TestNode n = node(e.address());
+                TestSidecar n = node(e.address());
                 TestClient c = n.client()) {
             c.send(TestClient.submit("50"));
             FakeServer.Wire w = wires.take();
@@ -199,7 +204,7 @@
     void aResetInTheMiddleOfItsBodyIsNoEnd() throws Exception {
         BlockingQueue<FakeServer.Wire> wires = new LinkedBlockingQueue<>();
         try (FakeServer e = new FakeServer((r, w) -> wires.add(w));
-                TestNode n = node(e.address());
+                TestSidecar n = node(e.address());
                 TestClient c = n.client()) {
             c.send(TestClient.submit("50"));
             FakeServer.Wire w = wires.take();
@@ -219,7 +224,7 @@
         try (ServerSocketChannel endpoint = ServerSocketChannel.open()) {
             endpoint.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             int port = ((InetSocketAddress) endpoint.getLocalAddress()).getPort();
-            try (TestNode n = node("127.0.0.1:" + port);
+            try (TestSidecar n = node("127.0.0.1:" + port);
                     TestClient c = n.client()) {
                 c.send(TestClient.submit("50"));
                 try (SocketChannel s = endpoint.accept()) {
@@ -241,8 +246,8 @@
     void aReadThatFailsOtherwiseIsNoEnd(String failure) throws Exception {
         BrokenRouteSocket.failure = failure;
         try (FakeServer e = new FakeServer(thenClose(HEAD + "who knows"));
-                TestNode n = new TestNode(
-                        TestNode.config("127.0.0.1:0", FakeServer.refusing(), 1024, e.address()),
+                TestSidecar n = new TestSidecar(
+                        TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024, e.address()),
                         BrokenRouteSocket.class);
                 TestClient c = n.client()) {
             assertFailed(c.ask(TestClient.submit("50")));
@@ -256,11 +261,11 @@
         try (ServerSocket endpoint = new ServerSocket()) {
             endpoint.setReceiveBufferSize(4096);
             endpoint.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            String config =
-                    TestNode.config("127.0.0.1:0", FakeServer.refusing(), 1024, "127.0.0.1:" + endpoint.getLocalPort());
-            try (TestNode n = new TestNode(config, CrossingTest.NarrowSocket.class);
+            String config = TestSidecar.config(
+                    "127.0.0.1:0", FakeServer.refusing(), 1024, "127.0.0.1:" + endpoint.getLocalPort());
+            try (TestSidecar n = new TestSidecar(config, CrossingTest.NarrowSocket.class);
                     TestClient c = n.client()) {
-                int size = ResponseAssembler.MAX_BODY_BYTES;
+                int size = ProtocolLimits.MAX_BODY_BYTES;
                 c.send(TestClient.submit("50")
                         .replace(
                                 "Content-Length: 3\r\n\r\nabc",
@@ -316,7 +321,7 @@
     @ValueSource(strings = {"204 No Content", "304 Not Modified"})
     void oneThatHasNoBodyIsWholeWithItsHead(String status) throws Exception {
         try (FakeServer e = new FakeServer((r, w) -> w.text("HTTP/1.1 " + status + "\r\n\r\n"));
-                TestNode n = node(e.address());
+                TestSidecar n = node(e.address());
                 TestClient c = n.client()) {
             assertFailed(c.ask(TestClient.submit("50")));
             assertEquals(1, e.requests.size());
@@ -357,7 +362,7 @@
         };
         try (FakeServer e = new FakeServer(first);
                 FakeServer f = new FakeServer(first);
-                TestNode n = node(e.address(), f.address());
+                TestSidecar n = node(e.address(), f.address());
                 TestClient c = n.client()) {
             assertEquals(told, c.ask(TestClient.submit("50")).status());
             assertEquals(attempts, e.requests.size() + f.requests.size());
@@ -370,7 +375,7 @@
         FakeServer.Script script = reset ? thenReset(HEAD + "done") : thenClose(HEAD + "done");
         try (FakeServer e = new FakeServer(script);
                 FakeServer f = new FakeServer(script);
-                TestNode n = node(e.address(), f.address());
+                TestSidecar n = node(e.address(), f.address());
                 TestClient c = n.client()) {
             String request =
                     switch (kind) {
@@ -379,7 +384,7 @@
                         default -> TestClient.status("50");
                     };
             assertEquals(reset ? 502 : 200, c.ask(request).status());
-            n.await(() -> n.sidecar.held() == 0);
+            n.await(() -> n.sidecar.pendingCount() == 0);
             assertEquals(1, e.requests.size() + f.requests.size());
         }
     }
@@ -391,7 +396,7 @@
                 (r, w) -> (turn.getAndIncrement() == 0 ? thenReset(HEAD + "half") : OK).on(r, w);
         try (FakeServer e = new FakeServer(firstBreaks);
                 FakeServer f = new FakeServer(firstBreaks);
-                TestNode n = node(e.address(), f.address());
+                TestSidecar n = node(e.address(), f.address());
                 TestClient c = n.client()) {
             assertEquals("elsewhere", c.ask(TestClient.status("50")).body());
         }
@@ -402,7 +407,7 @@
     void itsEndAndItsClientsLeavingInOneTurnLeaveNothing(String how) throws Exception {
         BlockingQueue<FakeServer.Wire> wires = new LinkedBlockingQueue<>();
         try (FakeServer e = new FakeServer((r, w) -> wires.add(w));
-                TestNode n = node(e.address());
+                TestSidecar n = node(e.address());
                 TestClient leaving = n.client()) {
             leaving.send(TestClient.submit("50"));
             FakeServer.Wire w = wires.take();
@@ -412,7 +417,7 @@
                 leaving.leave(how);
                 return null;
             });
-            n.await(() -> n.sidecar.held() == 0 && n.server.connections() == 0);
+            n.await(() -> n.sidecar.pendingCount() == 0 && n.server.connections() == 0);
             e.script(OK);
             try (TestClient c = n.client()) {
                 assertServed("elsewhere", c.ask(TestClient.submit("50")));
@@ -426,13 +431,13 @@
         BlockingQueue<FakeServer.Wire> wires = new LinkedBlockingQueue<>();
         CountDownLatch drained = new CountDownLatch(1);
         try (FakeServer e = new FakeServer((r, w) -> wires.add(w));
-                TestNode n = node(e.address());
+                TestSidecar n = node(e.address());
                 TestClient c = n.client()) {
             c.send(TestClient.submit("50"));
             FakeServer.Wire w = wires.take();
             n.call(() -> {
                 w.text(HEAD + "done");
-                n.server.drain(drained::countDown);
+                n.server.shutDown(drained::countDown);
                 w.socket().close();
                 return null;
             });
