--- a/src/test/java/loadbalancer/testing/FakeServer.java
+++ b/src/test/java/loadbalancer/testing/FakeServer.java
@@ -19,6 +19,7 @@
 
 /** A small HTTP server on loopback, as an endpoint or as discovery, that does what a script says. */
 public final class FakeServer implements AutoCloseable {
+    /** How long a test waits for something that must happen, in seconds. */
     public static final int PATIENCE_S = 20;
 
     /** What came in, read whole. */
@@ -26,6 +27,7 @@
 
     /** A connection that the script may answer on, leave silent or break. */
     public record Wire(Socket socket) {
+        /** Writes this text as it is. */
         public void text(String raw) throws IOException {
             OutputStream out = socket.getOutputStream();
             out.write(raw.getBytes(StandardCharsets.UTF_8));
@@ -37,10 +39,12 @@
             text(Integer.toHexString(content.length()) + "\r\n" + content + "\r\n");
         }
 
+        /** Writes a response with this status, further headers and body. */
         public void answer(String status, String headers, String body) throws IOException {
             text("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n" + headers + "\r\n" + body);
         }
 
+        /** Writes a response that succeeded. */
         public void ok(String body) throws IOException {
             answer("200 OK", "", body);
         }
@@ -54,10 +58,13 @@
 
     /** What the server does with each request. */
     public interface Script {
+        /** Handles one request, on a thread of the connection. */
         void on(Request request, Wire wire) throws IOException;
     }
 
+    /** All requests that arrived, in their order. */
     public final List<Request> requests = new CopyOnWriteArrayList<>();
+
     private final BlockingQueue<Request> arrived = new LinkedBlockingQueue<>();
     private final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
     private final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
@@ -65,6 +72,7 @@
     private final ServerSocket listener;
     private volatile Script script;
 
+    /** A server at a free port. */
     public FakeServer(Script script) throws IOException {
         this(InetAddress.getLoopbackAddress(), 0, script);
     }
@@ -83,18 +91,22 @@
         }
     }
 
+    /** Changes what the server does with requests from now on. */
     public void script(Script next) {
         script = next;
     }
 
+    /** Its address and port. */
     public String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
+    /** How many connections it has accepted so far. */
     public int connections() {
         return sockets.size();
     }
 
+    /** Waits for the next request. */
     public Request awaitRequest() throws InterruptedException {
         Request r = arrived.poll(PATIENCE_S, TimeUnit.SECONDS);
         if (r == null) {
@@ -171,6 +183,7 @@
         return body.length < length ? null : new Request(line, headers, body);
     }
 
+    /** Reads one line, without its end; null at the end of the stream. */
     public static String line(InputStream in) throws IOException {
         StringBuilder b = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
--- a/src/test/java/loadbalancer/testing/LateSocket.java
+++ b/src/test/java/loadbalancer/testing/LateSocket.java
@@ -12,23 +12,25 @@
 
 /** A socket whose connection comes up only when the test lets it: the latch before a connect. */
 public final class LateSocket extends NioSocketChannel {
-    private static final BlockingQueue<Runnable> HELD = new LinkedBlockingQueue<>();
+    private static final BlockingQueue<Runnable> PENDING = new LinkedBlockingQueue<>();
 
+    /** Forgets connections that an earlier test has begun. */
     public static void forget() {
-        HELD.clear();
+        PENDING.clear();
     }
 
     /** Waits until a connection has been begun; what it returns lets that one go on. */
     public static Runnable awaitConnect() throws InterruptedException {
-        Runnable go = HELD.poll(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
+        Runnable go = PENDING.poll(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
         if (go == null) {
             throw new AssertionError("no connection was begun");
         }
         return go;
     }
 
+    /** How many connections have been begun and not yet let go on. */
     public static int waiting() {
-        return HELD.size();
+        return PENDING.size();
     }
 
     @Override
@@ -38,7 +40,7 @@
             @Override
             public void connect(
                     ChannelHandlerContext ctx, SocketAddress remote, SocketAddress local, ChannelPromise promise) {
-                HELD.add(() -> ctx.executor().execute(() -> ctx.connect(remote, local, promise)));
+                PENDING.add(() -> ctx.executor().execute(() -> ctx.connect(remote, local, promise)));
             }
         });
         return pipeline;
--- a/src/test/java/loadbalancer/testing/TestClient.java
+++ b/src/test/java/loadbalancer/testing/TestClient.java
@@ -20,12 +20,14 @@
     private final Socket socket;
     private final InputStream in;
 
+    /** A connection to this port on loopback. */
     public TestClient(int port) throws IOException {
         socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setSoTimeout(FakeServer.PATIENCE_S * 1000);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
+    /** Writes this text as it is. */
     public void send(String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
@@ -42,16 +44,19 @@
         }
     }
 
+    /** A request of the idempotent class, with this timeout in seconds. */
     public static String status(String timeout) {
         return "GET /api?obj=k HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: r" + IDS.getAndIncrement()
                 + "\r\nRequest-Class: status\r\nRequest-Timeout: " + timeout + "\r\n\r\n";
     }
 
+    /** A request of the class that may not be repeated, with this timeout in seconds. */
     public static String submit(String timeout) {
         return "POST /api HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: r" + IDS.getAndIncrement()
                 + "\r\nRequest-Class: submit\r\nRequest-Timeout: " + timeout + "\r\nContent-Length: 3\r\n\r\nabc";
     }
 
+    /** A request with an idempotency key, with this timeout in seconds. */
     public static String pay(String timeout) {
         int id = IDS.getAndIncrement();
         return "POST /api HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: r" + id
@@ -59,6 +64,7 @@
                 + "\r\nContent-Length: 3\r\n\r\nabc";
     }
 
+    /** Sends this request and reads its response. */
     public Answer ask(String text) throws IOException {
         send(text);
         return read();
--- a/src/test/java/loadbalancer/testing/TestSidecar.java
+++ b/src/test/java/loadbalancer/testing/TestSidecar.java
@@ -60,16 +60,19 @@
         loop.submit(parts.start()).get();
     }
 
+    /** An entry of an endpoint list. */
     public static String host(String name, String address, String health) {
         return """
                 {"host":"%s","dial":"%s","site":"a","class":"m","block":0,"health":"%s","share":1.0,"born_ms":0}"""
                 .formatted(name, address, health);
     }
 
+    /** An endpoint list as discovery writes it. */
     public static String list(long seq, boolean whole, String... hosts) {
         return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"extra\":1,\"hosts\":[" + String.join(",", hosts) + "]}";
     }
 
+    /** A configuration with one class of each idempotency, and these endpoints as the last known list. */
     public static String config(String listen, String discovery, int sockets, String... endpoints) throws IOException {
         String[] hosts = new String[endpoints.length];
         for (int i = 0; i < hosts.length; i++) {
@@ -112,6 +115,7 @@
         call(() -> null);
     }
 
+    /** Runs this on the event loop and returns its result. */
     public <T> T call(Callable<T> task) throws Exception {
         return group.next().submit(task).get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
     }
@@ -136,6 +140,7 @@
         });
     }
 
+    /** A new connection to this sidecar. */
     public TestClient client() throws IOException {
         return new TestClient(port);
     }
