--- a/src/main/java/loadbalancer/configuration/Configuration.java
+++ b/src/main/java/loadbalancer/configuration/Configuration.java
@@ -11,15 +11,21 @@
 import java.util.HashMap;
 import java.util.Map;
 import loadbalancer.discovery.EndpointList;
+import loadbalancer.discovery.EndpointListException;
+import loadbalancer.discovery.SocketAddresses;
 import loadbalancer.policy.PolicySettings;
 
 /**
- * Everything a sidecar is told at start.
+ * The configuration of a sidecar, as read at start.
  *
+ * @param listenAddress the address on which the application connects
+ * @param discoveryAddress the address of the discovery service
+ * @param seed seed of this sidecar's random draws
+ * @param settings the settings of the balancing policy
  * @param lastKnownList the endpoints as last known, perhaps out of date; null if there is no such list
- * @param connectTimeoutMillis milliseconds after which a connection that is not up has failed
+ * @param connectTimeoutMillis milliseconds after which an attempt to connect to an endpoint has failed
  * @param endpointIdleMillis milliseconds after which an endpoint closes an idle connection
- * @param maxDescriptors file descriptors that the process may hold
+ * @param maxDescriptors file descriptors that the process may have open
  */
 public record Configuration(
         InetSocketAddress listenAddress,
@@ -31,7 +37,7 @@
         double endpointIdleMillis,
         int maxDescriptors) {
 
-    private static final int HEX = 16;
+    private static final int SEED_RADIX = 16;
 
     /**
      * Reads the configuration from a file.
@@ -47,57 +53,63 @@
     }
 
     /**
-     * Reads the configuration.
+     * Parses the configuration.
      *
      * @throws ConfigurationException with one line that says what is missing or malformed
      */
     public static Configuration parse(String text, ObjectMapper mapper) throws ConfigurationException {
-        JsonNode json;
+        JsonNode json = parseJson(text, mapper);
+        JsonNode settings = json.path("settings");
+        JsonNode settingsLimits = settings.path("limits");
+        Map<String, String> settingsByPath = new HashMap<>();
+        flatten("", settings, settingsByPath);
+        return new Configuration(
+                parseAddress(json, "listen"),
+                parseAddress(json, "discovery"),
+                parseSeed(json.path("seed").asText()),
+                new SettingsReader(settingsByPath).settings(),
+                parseLastKnownList(json.path("known")),
+                (int) parseLimit(settingsLimits, "connect_timeout"),
+                parseLimit(settingsLimits, "conn_idle"),
+                (int) parseLimit(json.path("limits"), "sockets"));
+    }
+
+    private static JsonNode parseJson(String text, ObjectMapper mapper) throws ConfigurationException {
         try {
-            json = mapper.readTree(text);
+            return mapper.readTree(text);
         } catch (JsonProcessingException e) {
             throw new ConfigurationException("file", "is not JSON: " + e.getOriginalMessage(), e);
         }
-        Map<String, String> pairs = new HashMap<>();
-        flatten("", json.path("settings"), pairs);
-        JsonNode limits = json.path("settings").path("limits");
-        JsonNode known = json.path("known");
-        return new Configuration(
-                address(json, "listen"),
-                address(json, "discovery"),
-                seed(json.path("seed").asText()),
-                new SettingsReader(pairs).settings(),
-                known.isObject() ? knownEndpoints(known) : null,
-                (int) positive(limits, "connect_timeout"),
-                positive(limits, "conn_idle"),
-                (int) positive(json.path("limits"), "sockets"));
     }
 
-    private static InetSocketAddress address(JsonNode json, String field) throws ConfigurationException {
+    private static InetSocketAddress parseAddress(JsonNode json, String field) throws ConfigurationException {
         try {
-            return EndpointList.address(json.path(field).asText());
+            return SocketAddresses.parse(json.path(field).asText());
         } catch (IllegalArgumentException e) {
             throw new ConfigurationException(field, e.getMessage(), e);
         }
     }
 
-    private static EndpointList knownEndpoints(JsonNode known) throws ConfigurationException {
+    private static EndpointList parseLastKnownList(JsonNode known) throws ConfigurationException {
+        if (!known.isObject()) {
+            return null;
+        }
         try {
             return EndpointList.parse(known);
-        } catch (IllegalArgumentException e) {
+        } catch (EndpointListException e) {
             throw new ConfigurationException("known", e.getMessage(), e);
         }
     }
 
-    private static long seed(String text) throws ConfigurationException {
+    private static long parseSeed(String text) throws ConfigurationException {
         try {
-            return Long.parseUnsignedLong(text, HEX);
+            return Long.parseUnsignedLong(text, SEED_RADIX);
         } catch (NumberFormatException e) {
             throw new ConfigurationException("seed", "'" + text + "' is not a hexadecimal number", e);
         }
     }
 
-    private static double positive(JsonNode limits, String field) throws ConfigurationException {
+    private static double parseLimit(JsonNode limits, String field) throws ConfigurationException {
         double value = limits.path(field).asDouble();
         if (!(value >= 1 && value <= Integer.MAX_VALUE)) {
             throw new ConfigurationException("limits." + field, "is missing or out of range");
@@ -105,20 +117,18 @@
         return value;
     }
 
-    /**
-     * Nested JSON to the simulator's paths, by its rules: a list of objects has a count and numbered items.
-     */
-    private static void flatten(String path, JsonNode node, Map<String, String> pairs) {
+    /** Converts JSON to pairs of path and value; an array becomes its count and its numbered items. */
+    private static void flatten(String path, JsonNode node, Map<String, String> valuesByPath) {
         if (node.isObject()) {
-            node.properties()
-                    .forEach(e -> flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(), e.getValue(), pairs));
+            String prefix = path.isEmpty() ? "" : path + ".";
+            node.properties().forEach(field -> flatten(prefix + field.getKey(), field.getValue(), valuesByPath));
         } else if (node.isArray()) {
-            pairs.put(path + ".count", Integer.toString(node.size()));
+            valuesByPath.put(path + ".count", Integer.toString(node.size()));
             for (int i = 0; i < node.size(); i++) {
-                flatten(path + "." + i, node.get(i), pairs);
+                flatten(path + "." + i, node.get(i), valuesByPath);
             }
         } else if (!node.isNull() && !node.isMissingNode()) {
-            pairs.put(path, node.asText());
+            valuesByPath.put(path, node.asText());
         }
     }
 }
--- a/src/main/java/loadbalancer/configuration/ConfigurationException.java
+++ b/src/main/java/loadbalancer/configuration/ConfigurationException.java
@@ -1,6 +1,6 @@
 package loadbalancer.configuration;
 
-/** The configuration can't be used; the message says in one line which field is wrong, and how. */
+/** A configuration is not valid; the message says in one line which field is wrong, and how. */
 public final class ConfigurationException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -19,12 +19,12 @@
         this.reason = reason;
     }
 
-    /** The path of the field, such as {@code limits.sockets}, or the file's. */
+    /** Returns the path of the field, such as {@code limits.sockets}, or of the file. */
     public String field() {
         return field;
     }
 
-    /** What is wrong with it. */
+    /** Returns what is wrong with the field. */
     public String reason() {
         return reason;
     }
--- a/src/main/java/loadbalancer/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/discovery/DiscoveryClient.java
@@ -4,157 +4,117 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.HttpClientCodec;
-import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpObject;
-import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.util.NetUtil;
-import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.Random;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import loadbalancer.eventloop.Clock;
-import loadbalancer.policy.PolicySettings;
 import loadbalancer.policy.WatchEvent;
 
 /**
- * The watch on the list of endpoints. Where discovery is asked, the module decides when to ask again after a
- * failure; where lists are pushed it does not ask at all, and the watch on the local agent is renewed here.
+ * Watches the endpoint list of the discovery service. Where lists are polled, the policy decides when to watch again
+ * after a failure; where they are pushed, the watch on the local agent is renewed here. Runs on the event loop.
  */
 public final class DiscoveryClient {
-    /** Hears of lists, and of what keeps them from coming. */
+    /** Is notified of endpoint lists, and of the end of a watch. */
     public interface Listener {
+        /** A list arrived: {@code SNAPSHOT} or {@code DELTA}. */
         void endpointsReceived(WatchEvent kind, EndpointList list);
 
-        /** There is no watch any more: {@code FAILED}, {@code SILENT} or {@code MOVED}. */
-        void watchFailed(WatchEvent why);
+        /** The watch ended: {@code FAILED}, {@code IDLE_TIMEOUT} or {@code MOVED}. */
+        void watchFailed(WatchEvent reason);
     }
 
-    private static final String PATH = "/registry/instances";
-    private static final int CONNECT_TIMEOUT_MS = 1000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1000;
     /**
-     * An empty line is due every 2 s, and what a silent watch misses counts as told 6 s after: one that shows no
-     * life for this long is broken, which leaves time for another call that has to wait its turn. Chance spreads
-     * the calls of all sidecars whose watches fell silent together.
+     * The service sends an empty line every 2 s, and a sidecar counts as notified of what an idle watch misses 6 s
+     * later. This timeout leaves time for another call that may have to wait for its turn. It is randomized so that
+     * sidecars whose watches became idle together do not all call together.
      */
-    private static final double SILENT_MS = 2600;
+    private static final double MIN_IDLE_TIMEOUT_MILLIS = 2600;
 
-    private static final double SILENT_SPREAD_MS = 1000;
-    private static final long LOOK_MS = 100;
-    private static final double FIRST_BACKOFF_MS = 100;
-    private static final double MAX_BACKOFF_MS = 4000;
-    /** Of the grace that a drain allows: what the local agent has counts as told, whether it is heard or not. */
-    private static final double PUSHED_SHARE = 0.2;
+    private static final double IDLE_TIMEOUT_SPREAD_MILLIS = 1000;
+    private static final long IDLE_CHECK_INTERVAL_MILLIS = 100;
 
     private final EventLoop loop;
     private final Clock clock;
     private final ObjectMapper mapper;
     private final boolean pushed;
-    private final double maxBackoff;
     private final Random random;
+    private final WatchBackoff backoff;
     private final Listener listener;
     private final Consumer<String> log;
     private final Bootstrap bootstrap;
+    private final WatchCall.Listener callListener = new CallListener();
     private InetSocketAddress address;
-    private Long seq;
-    /** The watch under way; others that have not ended yet are no longer heeded. */
-    private Call current;
-
-    private double backoff = FIRST_BACKOFF_MS;
-    /** True from a list that can't be read to the next good one: it is told once. */
-    private boolean spoilt;
-
-    /** A watch that has not begun. {@code known} is the list to hear changes of, or null. */
+    /** The version of the last list, or null if the next one has to be a snapshot. */
+    private Long version;
+    /** The call in progress, or null. */
+    private WatchCall current;
+    /** True from a malformed list to the next good one: it is logged once. */
+    private boolean malformedListLogged;
+
+    /** A client without a watch, which connects with this kind of channels and logs lines of text. */
     public DiscoveryClient(
             EventLoop loop,
             Class<? extends Channel> channels,
             Clock clock,
-            InetSocketAddress address,
             ObjectMapper mapper,
-            PolicySettings settings,
-            long seed,
-            EndpointList known,
+            DiscoverySettings settings,
             Listener listener,
             Consumer<String> log) {
         this.loop = loop;
         this.clock = clock;
-        this.address = address;
+        this.address = settings.address();
         this.mapper = mapper;
-        this.pushed = !settings.endpointListPolled();
-        this.maxBackoff = Math.min(MAX_BACKOFF_MS, Math.max(1, settings.rules().drainGraceMillis() * PUSHED_SHARE));
-        this.random = new Random(seed);
-        this.seq = known == null ? null : known.version();
+        this.pushed = !settings.policySettings().endpointListPolled();
+        this.random = new Random(settings.seed());
+        this.backoff = new WatchBackoff(settings.policySettings().rules().drainGraceMillis(), random);
+        this.version = settings.lastKnownList() == null
+                ? null
+                : settings.lastKnownList().version();
         this.listener = listener;
         this.log = log;
         this.bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(channels)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS);
-        loop.scheduleAtFixedRate(this::lookForSilence, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
+        loop.scheduleAtFixedRate(
+                this::checkIdleTimeout, IDLE_CHECK_INTERVAL_MILLIS, IDLE_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void lookForSilence() {
-        if (current != null && clock.now() - current.aliveAt > current.patience) {
-            lost(current, WatchEvent.IDLE_TIMEOUT);
+    private void checkIdleTimeout() {
+        if (current != null && current.idle()) {
+            watchEnded(WatchEvent.IDLE_TIMEOUT);
         }
     }
 
-    /** Begins a watch, unless one is under way. */
+    /** Starts a watch, unless one is in progress. */
     public void watch() {
         if (current != null) {
             return;
         }
-        Call call = new Call(SILENT_MS + SILENT_SPREAD_MS * random.nextDouble());
-        current = call;
-        ChannelFuture connecting = bootstrap
-                .clone()
-                .handler(new ChannelInitializer<>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(), call);
-                    }
-                })
-                .connect(address);
-        call.channel = connecting.channel();
-        connecting.addListener(f -> {
-            // On the loop: where no descriptor is left, another thread tells so, of a channel that never was.
-            if (!f.isSuccess()) {
-                loop.execute(() -> lost(call, WatchEvent.FAILED));
-            }
-        });
+        double idleTimeoutMillis = MIN_IDLE_TIMEOUT_MILLIS + IDLE_TIMEOUT_SPREAD_MILLIS * random.nextDouble();
+        current = new WatchCall(address, version, idleTimeoutMillis, clock, mapper, callListener);
+        current.connect(bootstrap);
     }
 
     /**
-     * Moves the watch to another address; the old list stands until the new one has come. The whole list is asked
-     * for, since another service's versions may be counted otherwise, and no change must be missed. What failed
-     * at the old address delays nothing at the new one.
+     * Moves the watch to another address; the old list stays in use until the new one arrives. A snapshot is
+     * requested, since another service may count its versions differently and no change must be missed. The backoff
+     * starts over, so that failures at the old address delay nothing at the new one.
      */
-    public void migrate(InetSocketAddress next) {
-        if (next.equals(address)) {
+    public void migrate(InetSocketAddress newAddress) {
+        if (newAddress.equals(address)) {
             return;
         }
-        address = next;
-        seq = null;
-        backoff = FIRST_BACKOFF_MS;
-        // The end of the old watch is meant and no failure, and what it still has to say is out of date.
-        Call old = current;
-        current = null;
-        if (old != null) {
-            old.end();
-        }
+        address = newAddress;
+        version = null;
+        backoff.reset();
+        // Ending the old call is no failure, and what it still receives is out of date.
+        closeCurrent();
         if (pushed) {
             watch();
         } else {
@@ -162,113 +122,57 @@
         }
     }
 
-    // The one way on which a watch ends unmeant.
-    private void lost(Call call, WatchEvent why) {
-        if (call != current) {
-            return;
-        }
-        current = null;
-        call.end();
+    private void watchEnded(WatchEvent reason) {
+        closeCurrent();
         if (!pushed) {
-            listener.watchFailed(why);
-        } else if (why == WatchEvent.IDLE_TIMEOUT) {
+            listener.watchFailed(reason);
+        } else if (reason == WatchEvent.IDLE_TIMEOUT) {
             watch();
         } else {
-            loop.schedule(this::watch, (long) pushedWait(), TimeUnit.MILLISECONDS);
+            loop.schedule(this::watch, (long) backoff.nextDelayMillis(), TimeUnit.MILLISECONDS);
         }
     }
 
-    /** How long to wait before the local agent is asked again. */
-    double pushedWait() {
-        double wait = Math.min(maxBackoff, backoff) * (0.5 + random.nextDouble());
-        backoff *= 2;
-        return wait;
+    /** Returns the backoff between calls to an agent that pushes lists. */
+    WatchBackoff backoff() {
+        return backoff;
     }
 
-    /** The call itself: asks once connected, and reads lists until its connection ends or shows no life. */
-    private final class Call extends SimpleChannelInboundHandler<HttpObject> {
-        private final double patience;
-        private final EndpointListDecoder reader = new EndpointListDecoder(mapper);
-        private double aliveAt = clock.now();
-        private Channel channel;
-
-        private Call(double patience) {
-            this.patience = patience;
-        }
-
-        // With no descriptor left there is nothing to close, and the attempt would throw.
-        private void end() {
-            if (channel.isRegistered()) {
-                channel.close();
-            }
-        }
-
-        @Override
-        public void channelActive(ChannelHandlerContext ctx) {
-            String uri = PATH + "?watch=1" + (seq == null ? "" : "&after=" + seq);
-            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
-            request.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(address));
-            ctx.writeAndFlush(request);
+    private void closeCurrent() {
+        WatchCall call = current;
+        current = null;
+        if (call != null) {
+            call.close();
         }
+    }
 
+    /** Handles the events of the call in progress. */
+    private final class CallListener implements WatchCall.Listener {
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-            if (this != current) {
-                return;
-            }
-            if (message.decoderResult().isFailure()
-                    || message instanceof HttpResponse r && !r.status().equals(HttpResponseStatus.OK)) {
-                lost(this, WatchEvent.FAILED);
-                return;
-            }
-            if (message instanceof HttpContent part) {
-                read(part);
-            }
-            if (message instanceof LastHttpContent) {
-                lost(this, WatchEvent.FAILED);
-            }
-        }
-
-        // Guards against nonsense: the old list stands, and the next call asks from the last good version.
-        private void read(HttpContent part) {
-            try {
-                if (reader.read(part.content(), this::take)) {
-                    aliveAt = clock.now();
-                }
-            } catch (IOException | IllegalArgumentException e) {
-                if (this == current && !spoilt) {
-                    spoilt = true;
-                    log.accept("malformed endpoint list ignored: "
-                            + e.getMessage().lines().findFirst().orElse(""));
-                }
-                lost(this, WatchEvent.FAILED);
-            }
-        }
-
-        private void take(JsonNode object) {
-            if (this != current) {
-                return;
-            }
+        public void objectReceived(JsonNode object) throws EndpointListException {
             EndpointList list = EndpointList.parse(object);
-            if (!list.snapshot() && seq != null && list.version() < seq) {
-                // A service that counts anew: what it calls changed is not all that has, since our list.
-                seq = null;
-                throw new IllegalArgumentException("it goes back in its version; the whole is asked for");
+            if (!list.snapshot() && version != null && list.version() < version) {
+                // The service counts its versions anew: the changes may not be all since the list in use.
+                version = null;
+                throw new EndpointListException("the version goes back; a snapshot is requested");
             }
-            seq = list.version();
-            backoff = FIRST_BACKOFF_MS;
-            spoilt = false;
+            version = list.version();
+            backoff.reset();
+            malformedListLogged = false;
             listener.endpointsReceived(list.snapshot() ? WatchEvent.SNAPSHOT : WatchEvent.DELTA, list);
         }
 
         @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-            lost(this, WatchEvent.FAILED);
+        public void malformedListReceived(EndpointListException cause) {
+            if (!malformedListLogged) {
+                malformedListLogged = true;
+                log.accept("malformed endpoint list ignored: " + cause.getMessage());
+            }
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close();
+        public void callFailed() {
+            watchEnded(WatchEvent.FAILED);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/discovery/DiscoverySettings.java
@@ -0,0 +1,15 @@
+package loadbalancer.discovery;
+
+import java.net.InetSocketAddress;
+import loadbalancer.policy.PolicySettings;
+
+/**
+ * The settings of a {@link DiscoveryClient}.
+ *
+ * @param address the discovery service, or the local agent that pushes its lists
+ * @param policySettings says whether lists are pushed, and how long a draining endpoint may still be used
+ * @param seed seed of the random idle timeouts and backoff delays
+ * @param lastKnownList the list of which to receive changes, or null if there is none
+ */
+public record DiscoverySettings(
+        InetSocketAddress address, PolicySettings policySettings, long seed, EndpointList lastKnownList) {}
--- a/src/main/java/loadbalancer/discovery/EndpointList.java
+++ b/src/main/java/loadbalancer/discovery/EndpointList.java
@@ -1,96 +1,106 @@
 package loadbalancer.discovery;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.netty.util.NetUtil;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
-import java.net.UnknownHostException;
 import java.util.ArrayList;
 import java.util.List;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointStatus;
 
 /**
- * What discovery tells: all endpoints if {@code whole}, else those that changed, as of version {@code seq}.
+ * A list of endpoints from the discovery service.
+ *
+ * @param version the service's version of the list
+ * @param snapshot true if the entries are all endpoints, false if they are those that changed
+ * @param entries the endpoints
  */
 public record EndpointList(long version, boolean snapshot, List<Entry> entries) {
 
-    /** An endpoint for the module, and where to connect to it; null for one that is gone. */
+    /**
+     * An endpoint and where to connect to it.
+     *
+     * @param endpoint the endpoint, with its start in Unix time
+     * @param address its address, or null if it has been removed
+     */
     public record Entry(Endpoint endpoint, SocketAddress address) {}
 
-    private static final int MAX_PORT = 65535;
+    private static final double DEFAULT_CAPACITY_WEIGHT = 1;
+    private static final int NO_CELL = -1;
+    /** A start in Unix time that stands for long ago. */
+    private static final double UNKNOWN_START_MILLIS = 0;
 
     /**
-     * Reads discovery's form. One bad entry makes the whole list bad: half a list would lose a drain unseen.
+     * Parses a list in the discovery service's JSON form. A list with a malformed entry is rejected completely: a
+     * partial list could hide that an endpoint drains.
      *
-     * @throws IllegalArgumentException naming what is wrong
+     * @throws EndpointListException if a field is missing or malformed
      */
-    public static EndpointList parse(JsonNode json) {
+    public static EndpointList parse(JsonNode json) throws EndpointListException {
+        JsonNode version = json.path("seq");
+        JsonNode snapshot = json.path("whole");
         JsonNode hosts = json.path("hosts");
-        if (!json.path("seq").canConvertToLong() || !json.path("whole").isBoolean() || !hosts.isArray()) {
-            throw new IllegalArgumentException("seq, whole or hosts is missing or malformed");
+        if (!version.canConvertToLong() || !snapshot.isBoolean() || !hosts.isArray()) {
+            throw new EndpointListException("seq, whole or hosts is missing or malformed");
         }
         List<Entry> entries = new ArrayList<>();
         for (JsonNode host : hosts) {
-            entries.add(entry(host));
+            entries.add(parseEntry(host));
         }
-        return new EndpointList(json.get("seq").asLong(), json.get("whole").asBoolean(), List.copyOf(entries));
+        return new EndpointList(version.asLong(), snapshot.asBoolean(), List.copyOf(entries));
     }
 
-    private static Entry entry(JsonNode host) {
+    private static Entry parseEntry(JsonNode host) throws EndpointListException {
         String id = host.path("host").asText();
         if (!host.path("host").isTextual() || id.isEmpty()) {
-            throw new IllegalArgumentException("host is missing or malformed");
+            throw new EndpointListException("host is missing or malformed");
         }
-        EndpointStatus standing =
-                switch (host.path("health").asText()) {
-                    case "ready" -> EndpointStatus.READY;
-                    case "draining" -> EndpointStatus.DRAINING;
-                    case "gone" -> EndpointStatus.REMOVED;
-                    default -> throw new IllegalArgumentException("health of " + id + " is unknown");
-                };
-        double born = number(host, "born_ms", 0);
-        double share = number(host, "share", 1);
-        Endpoint server = new Endpoint(
-                id,
-                standing,
-                share,
-                host.path("site").asText(),
-                host.path("block").asInt(-1),
-                born);
-        // Where nothing will be sent again no address is needed, and a list must not be lost for the lack
-        // of one.
-        boolean gone = standing == EndpointStatus.REMOVED;
-        return new Entry(server, gone ? null : address(host.path("dial").asText()));
+        EndpointStatus status = parseStatus(host, id);
+        double startedAtMillis = parseNumber(host, "born_ms", UNKNOWN_START_MILLIS);
+        double capacityWeight = parseNumber(host, "share", DEFAULT_CAPACITY_WEIGHT);
+        String zone = host.path("site").asText();
+        int cell = host.path("block").asInt(NO_CELL);
+        Endpoint endpoint = new Endpoint(id, status, capacityWeight, zone, cell, startedAtMillis);
+        // A removed endpoint needs no address, and a list must not be rejected because of one.
+        boolean removed = status == EndpointStatus.REMOVED;
+        return new Entry(
+                endpoint, removed ? null : parseAddress(host.path("dial").asText()));
     }
 
-    private static double number(JsonNode host, String field, double absent) {
+    private static EndpointStatus parseStatus(JsonNode host, String id) throws EndpointListException {
+        return switch (host.path("health").asText()) {
+            case "ready" -> EndpointStatus.READY;
+            case "draining" -> EndpointStatus.DRAINING;
+            case "gone" -> EndpointStatus.REMOVED;
+            default -> throw new EndpointListException("health of " + id + " is unknown");
+        };
+    }
+
+    private static double parseNumber(JsonNode host, String field, double defaultValue) throws EndpointListException {
         JsonNode value = host.path(field);
         if (value.isMissingNode() || value.isNull()) {
-            return absent;
+            return defaultValue;
         }
         if (!value.isNumber() || value.asDouble() < 0) {
-            throw new IllegalArgumentException(field + " is malformed");
+            throw new EndpointListException(field + " is malformed");
         }
         return value.asDouble();
     }
 
-    /** An address and port such as {@code 127.0.0.1:9000}; names are not looked up, for there is no DNS. */
-    public static InetSocketAddress address(String text) {
-        int colon = text.lastIndexOf(':');
-        byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
-        if (ip == null) {
-            throw new IllegalArgumentException("'" + text + "' is not ADDRESS:PORT");
-        }
+    private static InetSocketAddress parseAddress(String text) throws EndpointListException {
         try {
-            int port = Integer.parseInt(text.substring(colon + 1));
-            if (port < 0 || port > MAX_PORT) {
-                throw new IllegalArgumentException("'" + text + "' has no such port");
-            }
-            return new InetSocketAddress(InetAddress.getByAddress(ip), port);
-        } catch (NumberFormatException | UnknownHostException e) {
-            throw new IllegalArgumentException("'" + text + "' is not ADDRESS:PORT", e);
+            return SocketAddresses.parse(text);
+        } catch (IllegalArgumentException e) {
+            throw new EndpointListException(e.getMessage(), e);
         }
     }
+
+    /**
+     * Parses an address and port, as {@link SocketAddresses#parse} does.
+     *
+     * @throws IllegalArgumentException naming the text and what is wrong with it
+     */
+    public static InetSocketAddress address(String text) {
+        return SocketAddresses.parse(text);
+    }
 }
--- a/src/main/java/loadbalancer/discovery/EndpointListDecoder.java
+++ b/src/main/java/loadbalancer/discovery/EndpointListDecoder.java
@@ -10,22 +10,29 @@
 import io.netty.buffer.ByteBufUtil;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import java.util.function.Consumer;
 
 /**
- * The objects in the bytes of one watch. An object is complete when its JSON is: it may be indented, come in any
- * number of pieces, or together with others.
+ * Decodes the JSON objects in the bytes of one watch. An object is complete when its JSON is: it may be indented,
+ * arrive in any number of pieces, or together with others.
  */
 final class EndpointListDecoder {
-    /** The bytes of one object at most: some thousand endpoints; more is not meant to end. */
+    /** The largest object that is accepted, in bytes: some thousand endpoints. A larger one may never end. */
     static final int MAX_OBJECT_BYTES = 1 << 20;
 
+    /** Receives each object as soon as it is complete. */
+    interface ObjectListener {
+        /** @throws EndpointListException if the object is no endpoint list */
+        void objectReceived(JsonNode object) throws EndpointListException;
+    }
+
     private final ObjectMapper mapper;
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
-    private TokenBuffer object;
+    /** The tokens of an object that is not complete, or null between two objects. */
+    private TokenBuffer partialObject;
+
     private int depth;
-    private int size;
+    private int partialBytes;
 
     EndpointListDecoder(ObjectMapper mapper) {
         this.mapper = mapper;
@@ -38,46 +45,64 @@
     }
 
     /**
-     * Takes in the next bytes and passes on the objects that they complete. True if they show that the other side
-     * is alive: an object is complete, or an empty line came between two. Pieces alone show nothing.
+     * Decodes the next bytes and passes on the objects that they complete.
      *
-     * @throws IOException if these bytes are not JSON objects, or one is too large
+     * @return true if the bytes show that the service is alive: they complete an object, or end in an empty line
+     *     between two. Pieces of an object alone do not.
+     * @throws EndpointListException if the bytes are not JSON objects, or an object is too large or no endpoint list
      */
-    boolean read(ByteBuf bytes, Consumer<JsonNode> complete) throws IOException {
-        byte[] in = ByteBufUtil.getBytes(bytes);
-        if (in.length == 0) {
+    boolean decode(ByteBuf bytes, ObjectListener listener) throws EndpointListException {
+        byte[] input = ByteBufUtil.getBytes(bytes);
+        if (input.length == 0) {
             return false;
         }
-        size += in.length;
-        if (size > MAX_OBJECT_BYTES) {
-            throw new IOException("an object of over " + MAX_OBJECT_BYTES + " bytes");
+        partialBytes += input.length;
+        if (partialBytes > MAX_OBJECT_BYTES) {
+            throw new EndpointListException("an object of over " + MAX_OBJECT_BYTES + " bytes");
         }
-        boolean alive = false;
-        feeder.feedInput(in, 0, in.length);
-        for (JsonToken t = parser.nextToken(); t != JsonToken.NOT_AVAILABLE; t = parser.nextToken()) {
-            take(t);
-            if (depth == 0) {
-                JsonNode node = mapper.readTree(object.asParser(mapper));
-                object = null;
-                alive = true;
-                complete.accept(node);
-            }
+        boolean alive;
+        try {
+            alive = parse(input, listener);
+        } catch (IOException e) {
+            throw new EndpointListException(e.getMessage(), e);
         }
-        if (object == null) {
-            size = 0;
-            alive |= in[in.length - 1] == '\n';
+        if (partialObject == null) {
+            partialBytes = 0;
+            alive |= input[input.length - 1] == '\n';
         }
         return alive;
     }
 
-    private void take(JsonToken token) throws IOException {
-        if (object == null) {
+    /** Returns true if the input completes an object. */
+    private boolean parse(byte[] input, ObjectListener listener) throws IOException, EndpointListException {
+        boolean completed = false;
+        feeder.feedInput(input, 0, input.length);
+        JsonToken token = parser.nextToken();
+        while (token != JsonToken.NOT_AVAILABLE) {
+            append(token);
+            if (depth == 0) {
+                JsonNode object = mapper.readTree(partialObject.asParser(mapper));
+                partialObject = null;
+                completed = true;
+                listener.objectReceived(object);
+            }
+            token = parser.nextToken();
+        }
+        return completed;
+    }
+
+    private void append(JsonToken token) throws IOException, EndpointListException {
+        if (partialObject == null) {
             if (token != JsonToken.START_OBJECT) {
-                throw new IOException("not an object");
+                throw new EndpointListException("not an object");
             }
-            object = new TokenBuffer(parser);
+            partialObject = new TokenBuffer(parser);
+        }
+        partialObject.copyCurrentEvent(parser);
+        if (token.isStructStart()) {
+            depth++;
+        } else if (token.isStructEnd()) {
+            depth--;
         }
-        object.copyCurrentEvent(parser);
-        depth += token.isStructStart() ? 1 : token.isStructEnd() ? -1 : 0;
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/discovery/WatchCall.java
@@ -0,0 +1,166 @@
+package loadbalancer.discovery;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.HttpClientCodec;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.handler.codec.http.LastHttpContent;
+import io.netty.util.NetUtil;
+import java.net.InetSocketAddress;
+import loadbalancer.eventloop.Clock;
+
+/**
+ * One watch request to the discovery service and its streamed response. Runs on the event loop; a call that has been
+ * closed notifies its listener of nothing.
+ */
+final class WatchCall extends SimpleChannelInboundHandler<HttpObject> {
+    /** Is notified of what a call receives, and of its end. */
+    interface Listener extends EndpointListDecoder.ObjectListener {
+        /** The response is malformed; {@link #callFailed} follows. */
+        void malformedListReceived(EndpointListException cause);
+
+        /** The call failed to connect, was rejected, or its response ended. */
+        void callFailed();
+    }
+
+    private static final String PATH = "/registry/instances";
+
+    private final InetSocketAddress address;
+    private final Long knownVersion;
+    private final double idleTimeoutMillis;
+    private final Clock clock;
+    private final EndpointListDecoder decoder;
+    private final Listener listener;
+    private double lastActivityAtMillis;
+    private Channel channel;
+    private boolean closed;
+
+    /** A call that is not connected. {@code knownVersion} is the version to receive changes of, or null for all. */
+    WatchCall(
+            InetSocketAddress address,
+            Long knownVersion,
+            double idleTimeoutMillis,
+            Clock clock,
+            ObjectMapper mapper,
+            Listener listener) {
+        this.address = address;
+        this.knownVersion = knownVersion;
+        this.idleTimeoutMillis = idleTimeoutMillis;
+        this.clock = clock;
+        this.decoder = new EndpointListDecoder(mapper);
+        this.listener = listener;
+        this.lastActivityAtMillis = clock.now();
+    }
+
+    /** Connects, and sends the request once connected. */
+    void connect(Bootstrap bootstrap) {
+        ChannelFuture connecting = bootstrap
+                .clone()
+                .handler(new ChannelInitializer<>() {
+                    @Override
+                    protected void initChannel(Channel newChannel) {
+                        newChannel.pipeline().addLast(new HttpClientCodec(), WatchCall.this);
+                    }
+                })
+                .connect(address);
+        channel = connecting.channel();
+        connecting.addListener(connected -> {
+            // Without a file descriptor the channel is never registered, and another thread completes the future.
+            if (!connected.isSuccess()) {
+                bootstrap.config().group().execute(this::fail);
+            }
+        });
+    }
+
+    /** Returns true if the service has not shown that it is alive for the idle timeout. */
+    boolean idle() {
+        return clock.now() - lastActivityAtMillis > idleTimeoutMillis;
+    }
+
+    /** Closes the connection. */
+    void close() {
+        closed = true;
+        // Without a file descriptor the channel was never registered, and closing it would throw.
+        if (channel.isRegistered()) {
+            channel.close();
+        }
+    }
+
+    @Override
+    public void channelActive(ChannelHandlerContext ctx) {
+        String uri = PATH + "?watch=1" + (knownVersion == null ? "" : "&after=" + knownVersion);
+        DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
+        request.headers().set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(address));
+        ctx.writeAndFlush(request);
+    }
+
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
+        if (closed) {
+            return;
+        }
+        if (message.decoderResult().isFailure() || rejected(message)) {
+            fail();
+            return;
+        }
+        if (message instanceof HttpContent content) {
+            decode(content);
+        }
+        if (message instanceof LastHttpContent) {
+            fail();
+        }
+    }
+
+    private static boolean rejected(HttpObject message) {
+        return message instanceof HttpResponse response && !response.status().equals(HttpResponseStatus.OK);
+    }
+
+    private void decode(HttpContent content) {
+        try {
+            if (decoder.decode(content.content(), this::objectDecoded)) {
+                lastActivityAtMillis = clock.now();
+            }
+        } catch (EndpointListException e) {
+            if (!closed) {
+                listener.malformedListReceived(e);
+            }
+            fail();
+        }
+    }
+
+    // The listener may close the call when it receives one of several objects.
+    private void objectDecoded(JsonNode object) throws EndpointListException {
+        if (!closed) {
+            listener.objectReceived(object);
+        }
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+        fail();
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        ctx.close();
+    }
+
+    private void fail() {
+        if (!closed) {
+            listener.callFailed();
+        }
+    }
+}
--- a/src/main/java/loadbalancer/lifecycle/SidecarComponents.java
+++ b/src/main/java/loadbalancer/lifecycle/SidecarComponents.java
@@ -8,6 +8,7 @@
 import java.util.function.Consumer;
 import loadbalancer.configuration.Configuration;
 import loadbalancer.discovery.DiscoveryClient;
+import loadbalancer.discovery.DiscoverySettings;
 import loadbalancer.downstream.ClientServer;
 import loadbalancer.eventloop.Clock;
 import loadbalancer.proxy.RequestDispatcher;
@@ -53,11 +54,12 @@
                 loop,
                 NioSocketChannel.class,
                 clock,
-                configuration.discoveryAddress(),
                 mapper,
-                configuration.settings(),
-                configuration.seed(),
-                configuration.lastKnownList(),
+                new DiscoverySettings(
+                        configuration.discoveryAddress(),
+                        configuration.settings(),
+                        configuration.seed(),
+                        configuration.lastKnownList()),
                 dispatcher,
                 log);
         ClientServer server = new ClientServer(
--- a/src/test/java/loadbalancer/configuration/ConfigurationTest.java
+++ b/src/test/java/loadbalancer/configuration/ConfigurationTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is wrong with a configuration is said in one line. */
+/** An invalid configuration is reported in one line. */
 class ConfigurationTest {
     @ParameterizedTest
     @CsvSource(
@@ -25,12 +25,12 @@
                 "at_most_once | sometimes | classes.1.effect",
                 "{\"name\":\"n0\" | {\"name\" | JSON"
             })
-    void badConfigurationIsNamedInOneLine(String part, String bad, String named) throws Exception {
-        String good = TestSidecar.config("127.0.0.1:0", "127.0.0.1:1", 1024, "127.0.0.1:2");
-        assertTrue(good.contains(part), part);
+    void namesInvalidFieldInOneLine(String valid, String invalid, String named) throws Exception {
+        String configuration = TestSidecar.config("127.0.0.1:0", "127.0.0.1:1", 1024, "127.0.0.1:2");
+        assertTrue(configuration.contains(valid), valid);
         ObjectMapper mapper = new ObjectMapper();
-        Configuration.parse(good, mapper);
-        String text = good.replace(part, bad);
+        Configuration.parse(configuration, mapper);
+        String text = configuration.replace(valid, invalid);
         String message = assertThrows(ConfigurationException.class, () -> Configuration.parse(text, mapper))
                 .getMessage();
         assertTrue(message.contains(named), message);
--- /dev/null
+++ b/src/test/java/loadbalancer/discovery/DiscoveryClientFixture.java
@@ -0,0 +1,120 @@
+package loadbalancer.discovery;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+import io.netty.channel.EventLoop;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import java.io.IOException;
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
+import loadbalancer.configuration.Configuration;
+import loadbalancer.eventloop.Clock;
+import loadbalancer.policy.WatchEvent;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestSidecar;
+import loadbalancer.upstream.EndpointPoolTest;
+
+/**
+ * A discovery client on a loop of its own, whose events and log lines are recorded. Its clock stands still until a test
+ * advances it, so that no watch reaches its idle timeout before.
+ */
+final class DiscoveryClientFixture implements DiscoveryClient.Listener, AutoCloseable {
+    private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+    private final AtomicLong nanos = new AtomicLong(1);
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
+    private final BlockingQueue<FakeServer.Wire> calls = new LinkedBlockingQueue<>();
+    final List<String> log = new CopyOnWriteArrayList<>();
+    private DiscoveryClient client;
+
+    @Override
+    public void endpointsReceived(WatchEvent kind, EndpointList list) {
+        List<String> ids =
+                list.entries().stream().map(entry -> entry.endpoint().id()).toList();
+        events.add(kind + " " + list.version() + " " + ids);
+    }
+
+    @Override
+    public void watchFailed(WatchEvent reason) {
+        events.add(loop.inEventLoop() ? reason.toString() : reason + " from another thread");
+    }
+
+    @Override
+    public void close() {
+        loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
+    }
+
+    /** A discovery service that leaves each call to the test. */
+    FakeServer newService() throws IOException {
+        return new FakeServer((request, wire) -> calls.add(wire));
+    }
+
+    /** Starts a client and its first watch; {@code mode} is "ask" or "push". */
+    void start(FakeServer service, String mode) throws Exception {
+        ObjectMapper mapper = new ObjectMapper();
+        Configuration configuration = Configuration.parse(
+                TestSidecar.config("127.0.0.1:0", service.address(), 64)
+                        .replace("\"discovery\":\"ask\"", "\"discovery\":\"" + mode + "\""),
+                mapper);
+        DiscoverySettings settings = new DiscoverySettings(
+                configuration.discoveryAddress(),
+                configuration.settings(),
+                configuration.seed(),
+                configuration.lastKnownList());
+        client = loop.submit(() -> new DiscoveryClient(
+                        loop,
+                        EndpointPoolTest.ScarceChannel.class,
+                        new Clock(nanos::get),
+                        mapper,
+                        settings,
+                        this,
+                        log::add))
+                .get();
+        watch();
+    }
+
+    void watch() throws Exception {
+        loop.submit(client::watch).get();
+    }
+
+    void migrate(FakeServer service) throws Exception {
+        loop.submit(() -> client.migrate(SocketAddresses.parse(service.address())))
+                .get();
+    }
+
+    double nextBackoffMillis() throws Exception {
+        return loop.submit(() -> client.backoff().nextDelayMillis()).get();
+    }
+
+    void advance(long millis) {
+        nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(millis));
+    }
+
+    /** Waits until the loop has handled everything that it received before. */
+    void awaitLoop() throws Exception {
+        loop.submit(() -> {}).get();
+    }
+
+    FakeServer.Wire nextCall() throws InterruptedException {
+        return next(calls);
+    }
+
+    String nextEvent() throws InterruptedException {
+        return next(events);
+    }
+
+    int pendingEvents() {
+        return events.size();
+    }
+
+    private static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
+        T item = queue.poll(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
+        if (item == null) {
+            throw new AssertionError("nothing came");
+        }
+        return item;
+    }
+}
--- a/src/test/java/loadbalancer/discovery/StartTimesTest.java
+++ b/src/test/java/loadbalancer/discovery/StartTimesTest.java
@@ -13,131 +13,134 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Starts told in Unix time, while the wall clock is stepped and the monotonic one runs on. */
+/** Start times in Unix time, while the wall clock is stepped and the monotonic one runs on. */
 class StartTimesTest {
-    private static final long BEGIN = 1_700_000_000_000L;
-    private static final long HOUR = TimeUnit.HOURS.toMillis(1);
+    private static final long UNIX_AT_START_MILLIS = 1_700_000_000_000L;
+    private static final long HOUR_MILLIS = TimeUnit.HOURS.toMillis(1);
 
     private final List<String> log = new ArrayList<>();
     private long elapsed;
     private long step;
-    private final Clock clock = new Clock(() -> TimeUnit.MILLISECONDS.toNanos(elapsed), () -> BEGIN + elapsed + step);
+    private final Clock clock =
+            new Clock(() -> TimeUnit.MILLISECONDS.toNanos(elapsed), () -> UNIX_AT_START_MILLIS + elapsed + step);
     private final StartTimes starts = new StartTimes(clock, log::add);
 
     private long wallClock() {
-        return BEGIN + elapsed + step;
+        return UNIX_AT_START_MILLIS + elapsed + step;
     }
 
-    /** What the module hears as the age of a server with this start, in milliseconds. */
-    private double age(String id, double told) {
+    /** The age in milliseconds of an endpoint that is reported with this start. */
+    private double age(String id, double startedAtMillis) {
         return clock.now()
-                - convert(false, server(id, told, EndpointStatus.READY)).get(0).startedAtMillis();
+                - convert(false, endpoint(id, startedAtMillis, EndpointStatus.READY))
+                        .get(0)
+                        .startedAtMillis();
     }
 
-    private static Endpoint server(String id, double told, EndpointStatus standing) {
-        return new Endpoint(id, standing, 1, "a", 0, told);
+    private static Endpoint endpoint(String id, double startedAtMillis, EndpointStatus status) {
+        return new Endpoint(id, status, 1, "a", 0, startedAtMillis);
     }
 
-    private List<Endpoint> convert(boolean whole, Endpoint... servers) {
+    private List<Endpoint> convert(boolean snapshot, Endpoint... endpoints) {
         List<EndpointList.Entry> entries = new ArrayList<>();
-        for (Endpoint s : servers) {
-            entries.add(new EndpointList.Entry(s, null));
+        for (Endpoint endpoint : endpoints) {
+            entries.add(new EndpointList.Entry(endpoint, null));
         }
-        return starts.convert(new EndpointList(1, whole, entries));
+        return starts.convert(new EndpointList(1, snapshot, entries));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {0, 5000, -5000, 3_600_000, -3_600_000})
-    void aServerThatStartsAfterAStepIsAsOldAsItIs(long by) {
+    void startAfterStepGivesTrueAge(long stepMillis) {
         elapsed += 10_000;
-        step = by;
+        step = stepMillis;
         elapsed += 2000;
-        long born = wallClock();
+        long startedAt = wallClock();
         elapsed += 300;
-        assertEquals(300, age("s", born), 1e-6);
-        // However often it is told, and whatever the clock does then, it is the same process.
-        step -= HOUR / 2;
+        assertEquals(300, age("s", startedAt), 1e-6);
+        // However often it is reported, and whatever the wall clock does then, it is the same process.
+        step -= HOUR_MILLIS / 2;
         elapsed += 1000;
-        assertEquals(1300, age("s", born), 1e-6);
-        step += HOUR;
+        assertEquals(1300, age("s", startedAt), 1e-6);
+        step += HOUR_MILLIS;
         elapsed += 1000;
-        assertEquals(2300, age("s", born), 1e-6);
+        assertEquals(2300, age("s", startedAt), 1e-6);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {5000, -5000, 3_600_000, -3_600_000})
-    void aServerThatStartedBeforeAStepNeverPassesForOlder(long by) {
+    void startBeforeStepGivesNoGreaterAge(long stepMillis) {
         elapsed += 10_000;
-        long born = wallClock();
+        long startedAt = wallClock();
         elapsed += 500;
-        step = by;
+        step = stepMillis;
         elapsed += 500;
-        double age = age("s", born);
+        double age = age("s", startedAt);
         assertTrue(age >= 0 && age <= 1000, "age " + age);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {5000, -5000, 3_600_000, -3_600_000})
-    void aRestartAfterAStepIsANewStartThoughItsNumberGoesBack(long by) {
+    void restartAfterStepIsNewStart(long stepMillis) {
         elapsed += 10_000;
         assertEquals(1000, age("s", wallClock() - 1000), 1e-6);
-        step = by;
+        step = stepMillis;
         elapsed += 60_000;
-        long again = wallClock();
+        long restartedAt = wallClock();
         elapsed += 200;
-        assertEquals(200, age("s", again), 1e-6);
+        assertEquals(200, age("s", restartedAt), 1e-6);
     }
 
     @Test
-    void aStepThatIsTakenBackBeforeTheListComesIsRememberedOnceSeen() {
+    void remembersStepRevertedBeforeList() {
         elapsed += 10_000;
-        step = -HOUR;
+        step = -HOUR_MILLIS;
         elapsed += 500;
         starts.observeWallClock();
-        long born = wallClock();
+        long startedAt = wallClock();
         elapsed += 500;
         step = 0;
         elapsed += 500;
-        assertEquals(1000, age("s", born), 1e-6);
+        assertEquals(1000, age("s", startedAt), 1e-6);
     }
 
     @Test
-    void aStartInTheFutureIsNow() {
-        assertEquals(0, age("s", wallClock() + HOUR), 1e-6);
+    void startInFutureCountsAsNow() {
+        assertEquals(0, age("s", wallClock() + HOUR_MILLIS), 1e-6);
         elapsed += 400;
-        assertEquals(400, age("s", wallClock() - 400 + HOUR), 1e-6);
+        assertEquals(400, age("s", wallClock() - 400 + HOUR_MILLIS), 1e-6);
     }
 
     @Test
-    void longAgoStaysLongAgo() {
-        step = HOUR;
+    void zeroStartStaysZero() {
+        step = HOUR_MILLIS;
         assertEquals(
-                0, convert(false, server("s", 0, EndpointStatus.READY)).get(0).startedAtMillis());
+                0, convert(false, endpoint("s", 0, EndpointStatus.READY)).get(0).startedAtMillis());
     }
 
     @Test
-    void anEntryThatHasGoneIsForgotten() {
+    void forgetsRemovedEndpoints() {
         elapsed += 10_000;
-        step = -HOUR;
-        long born = wallClock();
-        assertEquals(0, age("s", born), 1e-6);
-        assertEquals(0, age("t", born), 1e-6);
-        convert(false, server("s", born, EndpointStatus.REMOVED));
-        convert(true, server("u", born, EndpointStatus.READY));
-        // Told anew they are taken for new: as old as that start can be by now.
+        step = -HOUR_MILLIS;
+        long startedAt = wallClock();
+        assertEquals(0, age("s", startedAt), 1e-6);
+        assertEquals(0, age("t", startedAt), 1e-6);
+        convert(false, endpoint("s", startedAt, EndpointStatus.REMOVED));
+        convert(true, endpoint("u", startedAt, EndpointStatus.READY));
+        // Listed again they count as new: as old as that start can be by now.
         elapsed += 1000;
-        assertEquals(1000, age("s", born), 1e-6);
-        assertEquals(1000, age("t", born), 1e-6);
+        assertEquals(1000, age("s", startedAt), 1e-6);
+        assertEquals(1000, age("t", startedAt), 1e-6);
     }
 
     @Test
-    void eachStepIsOneLine() {
+    void logsEachStepOnce() {
         for (int i = 0; i < 20; i++) {
             elapsed += 1000;
             starts.observeWallClock();
         }
         assertEquals(List.of(), log);
-        step = -HOUR;
+        step = -HOUR_MILLIS;
         starts.observeWallClock();
         starts.observeWallClock();
         assertEquals(List.of("the wall clock was stepped by -3600.0 s"), log);
