--- a/src/main/java/loadbalancer/simulator/InstanceParameters.java
+++ b/src/main/java/loadbalancer/simulator/InstanceParameters.java
@@ -6,26 +6,25 @@
 import loadbalancer.configuration.SettingsReader;
 import loadbalancer.policy.PolicySettings;
 
-/** Splits the pairs of an instance's first message. */
+/** Parses the settings of an instance, which its first message contains as pairs of path and value. */
 final class InstanceParameters {
-    private final Map<String, String> pairs = new HashMap<>();
+    private InstanceParameters() {}
 
-    InstanceParameters(String text) {
+    /**
+     * Parses pairs such as {@code ordinal=0}, separated by spaces.
+     *
+     * @throws ConfigurationException if a pair or a setting is malformed, or a setting is missing
+     */
+    static PolicySettings parse(String text) throws ConfigurationException {
+        Map<String, String> valuesByPath = new HashMap<>();
         for (String pair : text.split(" ")) {
-            int eq = pair.indexOf('=');
-            if (eq > 0) {
-                pairs.put(pair.substring(0, eq), pair.substring(eq + 1));
+            int equals = pair.indexOf('=');
+            if (equals > 0) {
+                valuesByPath.put(pair.substring(0, equals), pair.substring(equals + 1));
             } else if (!pair.isEmpty()) {
-                throw new WireFormatException("field boot_info: '" + pair + "' is not path=value");
+                throw new ConfigurationException("'" + pair + "'", "is not path=value");
             }
         }
-    }
-
-    PolicySettings settings() {
-        try {
-            return new SettingsReader(pairs).settings();
-        } catch (ConfigurationException e) {
-            throw new WireFormatException("field boot_info: " + e.getMessage());
-        }
+        return new SettingsReader(valuesByPath).settings();
     }
 }
--- a/src/main/java/loadbalancer/simulator/SimulatedSidecar.java
+++ b/src/main/java/loadbalancer/simulator/SimulatedSidecar.java
@@ -1,134 +1,122 @@
 package loadbalancer.simulator;
 
-import java.nio.charset.StandardCharsets;
-import java.util.Base64;
+import java.util.List;
+import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.BalancingPolicy;
+import loadbalancer.policy.Endpoint;
+import loadbalancer.policy.LoadReport;
 import loadbalancer.policy.LossThrottlingPolicy;
-import loadbalancer.policy.PolicyActions;
 import loadbalancer.policy.PolicyRequest;
 import loadbalancer.policy.PolicySettings;
-
-/** One sidecar: its module, its open requests, and its actions put on the wire. */
-final class SimulatedSidecar implements PolicyActions {
-    final int number;
-    final PolicySettings settings;
-    final BalancingPolicy module;
-    final byte[][] classNames;
-    final byte[][] tenantNames;
-    final LongTable<Tracked> open = new LongTable<>();
-    private final WireWriter out;
-
-    /** A request and how many of its attempts still owe an outcome, so that it can be forgotten in time. */
-    static final class Tracked {
-        final PolicyRequest request;
-        int owed;
-        boolean over;
-
-        Tracked(PolicyRequest request) {
-            this.request = request;
-        }
-    }
+import loadbalancer.policy.RequestClass;
+import loadbalancer.policy.Tenant;
+import loadbalancer.policy.WatchEvent;
+
+/**
+ * One instance of the simulation: its policy and its open requests. Each event is passed to the policy at the batch's
+ * time in milliseconds; what the policy throws is reported on the wire.
+ */
+final class SimulatedSidecar {
+    private final WireWords<Integer> classIndices;
+    private final WireWords<Integer> tenantIndices;
+    private final OpenRequests openRequests = new OpenRequests();
+    private final WireActions actions;
+    private final BalancingPolicy policy;
 
     SimulatedSidecar(int number, PolicySettings settings, long seed, WireWriter out) {
-        this.number = number;
-        this.settings = settings;
-        this.out = out;
-        this.classNames = new byte[settings.classes().size()][];
-        for (int i = 0; i < classNames.length; i++) {
-            classNames[i] = settings.classes().get(i).name().getBytes(StandardCharsets.UTF_8);
-        }
-        this.tenantNames = new byte[settings.tenants().size()][];
-        for (int i = 0; i < tenantNames.length; i++) {
-            tenantNames[i] = settings.tenants().get(i).name().getBytes(StandardCharsets.UTF_8);
-        }
-        this.module = new LossThrottlingPolicy(settings, seed, this);
+        this.classIndices = WireWords.indices(
+                settings.classes().stream().map(RequestClass::name).toList());
+        this.tenantIndices =
+                WireWords.indices(settings.tenants().stream().map(Tenant::name).toList());
+        this.actions = new WireActions(number, openRequests, out);
+        this.policy = new LossThrottlingPolicy(settings, seed, actions);
     }
 
-    /** Forgets a request that is over and owes no outcome. */
-    void tidy(Tracked t) {
-        if (t.over && t.owed == 0) {
-            open.remove(t.request.id());
-        }
+    /** Returns the indices of the request classes by name. */
+    WireWords<Integer> classIndices() {
+        return classIndices;
     }
 
-    private void over(PolicyRequest r) {
-        Tracked t = open.get(r.id());
-        if (t != null) {
-            t.over = true;
-            tidy(t);
-        }
+    /** Returns the indices of the tenants by name. */
+    WireWords<Integer> tenantIndices() {
+        return tenantIndices;
     }
 
-    private WireWriter begin(String name) {
-        return out.word(name).space().integer(number);
+    /** Returns true if a request of this id arrived and is not settled. */
+    boolean isOpen(long id) {
+        return openRequests.get(id) != null;
     }
 
-    @Override
-    public void forward(PolicyRequest r, String server, double within) {
-        Tracked t = open.get(r.id());
-        if (t != null) {
-            t.owed++;
-        }
-        begin("forward")
-                .space()
-                .integer(r.id())
-                .space()
-                .word(server)
-                .space()
-                .millis(within)
-                .line();
+    void start(double now) {
+        notifyPolicy(() -> policy.start(now));
     }
 
-    @Override
-    public void cancelAttempt(PolicyRequest r, int attempt) {
-        begin("undo_send").space().integer(r.id()).space().integer(attempt).line();
+    void endpointsChanged(double now, WatchEvent event, List<Endpoint> endpoints) {
+        notifyPolicy(() -> policy.endpointsChanged(now, event, endpoints));
     }
 
-    @Override
-    public void reject(PolicyRequest r, double retryAfter) {
-        begin("deny").space().integer(r.id()).space().millis(retryAfter).line();
-        over(r);
+    void requestArrived(double now, PolicyRequest request) {
+        openRequests.add(request);
+        notifyPolicy(() -> policy.requestArrived(now, request));
     }
 
-    @Override
-    public void fail(PolicyRequest r) {
-        begin("drop_request").space().integer(r.id()).line();
-        over(r);
+    /** An attempt ended; the outcome is ignored if the request was settled before. */
+    void attemptEnded(
+            double now,
+            long id,
+            int attempt,
+            AttemptOutcome outcome,
+            double durationMillis,
+            boolean finished,
+            LoadReport report) {
+        OpenRequests.OpenRequest open = openRequests.get(id);
+        if (open == null) {
+            return;
+        }
+        open.attemptEnded();
+        if (finished) {
+            open.complete();
+        }
+        notifyPolicy(
+                () -> policy.attemptEnded(now, open.request(), attempt, outcome, durationMillis, finished, report));
+        openRequests.removeIfSettled(open);
     }
 
-    @Override
-    public void probe(String server) {
-        begin("sound_out").space().word(server).line();
+    /** A response began to stream, unless the request was settled before. */
+    void responseStreaming(double now, long id, int attempt) {
+        OpenRequests.OpenRequest open = openRequests.get(id);
+        if (open != null) {
+            notifyPolicy(() -> policy.responseStreaming(now, open.request(), attempt));
+        }
     }
 
-    @Override
-    public void watchEndpoints() {
-        begin("stream_changes").word(" 1").line();
+    /** The client disconnected, unless the request was settled before. */
+    void clientDisconnected(double now, long id) {
+        OpenRequests.OpenRequest open = openRequests.get(id);
+        if (open != null) {
+            open.complete();
+            notifyPolicy(() -> policy.clientDisconnected(now, open.request()));
+            openRequests.removeIfSettled(open);
+        }
     }
 
-    @Override
-    public void broadcast(byte[] text) {
-        begin("notify")
-                .word(" * ")
-                .word(Base64.getEncoder().encodeToString(text))
-                .line();
+    void probeEnded(double now, String endpoint, AttemptOutcome outcome, double durationMillis, LoadReport report) {
+        notifyPolicy(() -> policy.probeEnded(now, endpoint, outcome, durationMillis, report));
     }
 
-    @Override
-    public void scheduleWake(double at) {
-        begin("wake_me").word(" period ").millis(at).line();
+    void messageReceived(double now, int from, byte[] message) {
+        notifyPolicy(() -> policy.messageReceived(now, from, message));
     }
 
-    @Override
-    public void log(String line) {
-        begin("log").space().word(line.replace('\n', ' ')).line();
+    void wake(double now) {
+        notifyPolicy(() -> policy.wake(now));
     }
 
-    void giveIn(Throwable t) {
-        String text = t.getClass().getSimpleName() + ": " + t.getMessage();
-        if (t.getStackTrace().length > 0) {
-            text += " at " + t.getStackTrace()[0];
+    private void notifyPolicy(Runnable event) {
+        try {
+            event.run();
+        } catch (RuntimeException | StackOverflowError e) {
+            actions.reportFailure(e);
         }
-        begin("give_in").space().word(text.replace('\n', ' ')).line();
     }
 }
--- a/src/main/java/loadbalancer/simulator/WireReader.java
+++ b/src/main/java/loadbalancer/simulator/WireReader.java
@@ -5,184 +5,220 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Reads lines and splits them into fields, without making an object for each. */
+/**
+ * Reads lines and steps through their fields, without making an object for each. Every method that takes a field's
+ * name reads the next field, and throws a {@link WireFormatException} with that name if the field is malformed.
+ */
 final class WireReader {
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
+    /** Characters of an integer, its sign included; so many digits fit into a {@code long}. */
+    private static final int MAX_INTEGER_LENGTH = 18;
+
+    private static final int RADIX = 10;
+
     private final InputStream in;
-    private byte[] buf = new byte[1 << 16];
-    private int pos;
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+    /** The bytes from {@code position} to {@code limit} are read but not part of a line yet. */
+    private int position;
+
     private int limit;
+    private long lineNumber;
     private int lineStart;
     private int lineEnd;
-    private int cursor;
-    private int start;
-    private int end;
-    private long lineNumber;
+    private int nextFieldStart;
+    private int fieldStart;
+    private int fieldEnd;
+    private String pairsName;
+    private int pairStart;
+    private int pairColon;
+    private int pairEnd;
 
     WireReader(InputStream in) {
         this.in = in;
     }
 
-    /** Steps to the next line; false at the end of input. */
+    /** Steps to the next line; returns false at the end of input. */
     boolean nextLine() throws IOException {
-        int scan = pos;
+        int scan = position;
         while (true) {
             for (; scan < limit; scan++) {
-                if (buf[scan] == '\n') {
-                    take(pos, scan);
-                    pos = scan + 1;
+                if (buffer[scan] == '\n') {
+                    startLine(position, scan);
+                    position = scan + 1;
                     return true;
                 }
             }
-            int held = limit - pos;
-            if (pos > 0) {
-                System.arraycopy(buf, pos, buf, 0, held);
-            } else if (held == buf.length) {
-                buf = Arrays.copyOf(buf, buf.length * 2);
-            }
-            pos = 0;
-            limit = held;
-            scan = held;
-            int n = in.read(buf, limit, buf.length - limit);
-            if (n < 0) {
-                if (held == 0) {
-                    return false;
-                }
-                lineNumber++;
-                throw fault("line", "cut short by the end of input");
+            makeRoom();
+            scan = limit;
+            int count = in.read(buffer, limit, buffer.length - limit);
+            if (count < 0) {
+                return endOfInput();
             }
-            limit += n;
+            limit += count;
         }
     }
 
-    private void take(int from, int to) {
+    /** Moves the bytes of an incomplete line to the start of the buffer, which grows if they fill it. */
+    private void makeRoom() {
+        int remaining = limit - position;
+        if (position > 0) {
+            System.arraycopy(buffer, position, buffer, 0, remaining);
+        } else if (remaining == buffer.length) {
+            buffer = Arrays.copyOf(buffer, buffer.length * 2);
+        }
+        position = 0;
+        limit = remaining;
+    }
+
+    private boolean endOfInput() {
+        if (limit > 0) {
+            lineNumber++;
+            throw malformed("line", "cut short by the end of input");
+        }
+        return false;
+    }
+
+    private void startLine(int from, int to) {
         lineStart = from;
-        lineEnd = to > from && buf[to - 1] == '\r' ? to - 1 : to;
-        cursor = lineStart;
+        lineEnd = to > from && buffer[to - 1] == '\r' ? to - 1 : to;
+        nextFieldStart = lineStart;
         lineNumber++;
     }
 
+    /** Returns true if the line is empty. */
     boolean blank() {
         return lineStart == lineEnd;
     }
 
-    /** Steps to the next field, which must be there. */
+    /** Steps to the next field, which must be present. */
     void field(String name) {
-        if (cursor > lineEnd || cursor == lineEnd && lineStart != lineEnd && cursor != lineStart) {
-            throw fault(name, "missing");
+        if (nextFieldStart > lineEnd || nextFieldStart == lineEnd && nextFieldStart != lineStart) {
+            throw malformed(name, "missing");
         }
-        start = cursor;
-        while (cursor < lineEnd && buf[cursor] != ' ') {
-            cursor++;
+        fieldStart = nextFieldStart;
+        while (nextFieldStart < lineEnd && buffer[nextFieldStart] != ' ') {
+            nextFieldStart++;
         }
-        end = cursor;
-        cursor++;
-        if (start == end) {
-            throw fault(name, "empty");
+        fieldEnd = nextFieldStart;
+        nextFieldStart++;
+        if (fieldStart == fieldEnd) {
+            throw malformed(name, "empty");
         }
     }
 
-    /** True if the line holds a further field. */
-    boolean more() {
-        return cursor < lineEnd;
+    /** Returns true if the line has another field. */
+    boolean hasMore() {
+        return nextFieldStart < lineEnd;
     }
 
-    /** Steps to the next field, or to an absent one where the line ends first. */
-    private void optional(String name) {
-        if (more()) {
-            field(name);
-        } else {
-            start = 0;
-            end = 0;
+    /** Steps to the next field; returns false if it is absent, marked so or because the line ends before it. */
+    private boolean optionalField(String name) {
+        if (!hasMore()) {
+            return false;
         }
+        field(name);
+        return fieldEnd - fieldStart != 1 || buffer[fieldStart] != '-';
     }
 
-    private boolean absent() {
-        return start == end || end - start == 1 && buf[start] == '-';
+    /** Returns true if the current field is this word. */
+    boolean is(String word) {
+        return matches(word, fieldStart, fieldEnd);
     }
 
-    boolean is(String word) {
-        if (end - start != word.length()) {
+    private boolean matches(String word, int from, int to) {
+        if (to - from != word.length()) {
             return false;
         }
         for (int i = 0; i < word.length(); i++) {
-            if (buf[start + i] != word.charAt(i)) {
+            if (buffer[from + i] != word.charAt(i)) {
                 return false;
             }
         }
         return true;
     }
 
+    /** Returns the current field. */
     String text() {
-        return new String(buf, start, end - start, StandardCharsets.UTF_8);
+        return new String(buffer, fieldStart, fieldEnd - fieldStart, StandardCharsets.UTF_8);
     }
 
+    /** Reads a field as it is. */
     String word(String name) {
         field(name);
         return text();
     }
 
-    /** The rest of the line. */
+    /** Reads the rest of the line. */
     String rest() {
-        String s = cursor >= lineEnd ? "" : new String(buf, cursor, lineEnd - cursor, StandardCharsets.UTF_8);
-        cursor = lineEnd;
-        return s;
+        int length = Math.max(0, lineEnd - nextFieldStart);
+        String rest = length == 0 ? "" : new String(buffer, nextFieldStart, length, StandardCharsets.UTF_8);
+        nextFieldStart = lineEnd;
+        return rest;
     }
 
-    /** Which of these byte strings the next field is; -1 if it is absent, "0" or a fault where none fits. */
-    int choice(String name, byte[][] options, boolean mayBeAbsent) {
-        if (mayBeAbsent) {
-            optional(name);
-            if (absent()) {
-                return -1;
-            }
-        } else {
-            field(name);
+    /** Returns the value of the current field, or null if it is none of these words. */
+    <T> T find(WireWords<T> words) {
+        return words.find(buffer, fieldStart, fieldEnd);
+    }
+
+    /** Reads one of these words and returns its value. */
+    <T> T choice(String name, WireWords<T> words) {
+        field(name);
+        T value = find(words);
+        if (value == null) {
+            throw unknownWord(name);
         }
-        for (int i = 0; i < options.length; i++) {
-            byte[] o = options[i];
-            if (o.length == end - start && Arrays.equals(o, 0, o.length, buf, start, end)) {
-                return i;
-            }
+        return value;
+    }
+
+    /** Reads one of these words and returns its value, or the default if the field is absent or an unknown "0". */
+    <T> T optionalChoice(String name, WireWords<T> words, T defaultValue) {
+        if (!optionalField(name)) {
+            return defaultValue;
         }
-        if (mayBeAbsent && is("0")) {
-            return -1;
+        T value = find(words);
+        if (value != null) {
+            return value;
         }
-        throw fault(name, "'" + text() + "' is not one of those known");
+        if (is("0")) {
+            return defaultValue;
+        }
+        throw unknownWord(name);
+    }
+
+    private WireFormatException unknownWord(String name) {
+        return malformed(name, "'" + text() + "' is not one of those known");
     }
 
     long integer(String name) {
         field(name);
-        long v = 0;
-        int i = start;
-        boolean minus = buf[i] == '-';
-        if (minus) {
-            i++;
-        }
-        if (i == end || end - i > 18) {
-            throw fault(name, "'" + text() + "' is not a whole number");
+        boolean negative = buffer[fieldStart] == '-';
+        int digitsStart = negative ? fieldStart + 1 : fieldStart;
+        if (digitsStart == fieldEnd || fieldEnd - digitsStart > MAX_INTEGER_LENGTH) {
+            throw malformed(name, "'" + text() + "' is not a whole number");
         }
-        for (; i < end; i++) {
-            int d = buf[i] - '0';
-            if (d < 0 || d > 9) {
-                throw fault(name, "'" + text() + "' is not a whole number");
+        long value = 0;
+        for (int i = digitsStart; i < fieldEnd; i++) {
+            int digit = buffer[i] - '0';
+            if (digit < 0 || digit > 9) {
+                throw malformed(name, "'" + text() + "' is not a whole number");
             }
-            v = v * 10 + d;
+            value = value * RADIX + digit;
         }
-        return minus ? -v : v;
+        return negative ? -value : value;
     }
 
-    int small(String name) {
-        long v = integer(name);
-        if (v < 0 || v > Integer.MAX_VALUE) {
-            throw fault(name, "'" + v + "' is out of range");
+    int nonNegativeInt(String name) {
+        long value = integer(name);
+        if (value < 0 || value > Integer.MAX_VALUE) {
+            throw malformed(name, "'" + value + "' is out of range");
         }
-        return (int) v;
+        return (int) value;
     }
 
-    boolean flag(String name, boolean absentValue) {
-        optional(name);
-        if (absent()) {
-            return absentValue;
+    boolean flag(String name, boolean defaultValue) {
+        if (!optionalField(name)) {
+            return defaultValue;
         }
         if (is("1")) {
             return true;
@@ -190,95 +226,76 @@
         if (is("0")) {
             return false;
         }
-        throw fault(name, "'" + text() + "' is neither 0 nor 1");
+        throw malformed(name, "'" + text() + "' is neither 0 nor 1");
     }
 
     double number(String name) {
         field(name);
-        return parse(name, start, end);
+        return parseNumber(name, fieldStart, fieldEnd);
     }
 
-    double number(String name, double absentValue) {
-        optional(name);
-        return absent() ? absentValue : parse(name, start, end);
+    double number(String name, double defaultValue) {
+        return optionalField(name) ? parseNumber(name, fieldStart, fieldEnd) : defaultValue;
     }
 
-    private static final double[] TENTHS = {1, 10, 100, 1e3, 1e4, 1e5, 1e6, 1e7, 1e8, 1e9};
-
-    private double parse(String name, int from, int to) {
-        long v = 0;
-        int digits = 0;
-        int decimals = -1;
-        int i = from;
-        boolean minus = i < to && buf[i] == '-';
-        if (minus) {
-            i++;
-        }
-        for (; i < to; i++) {
-            byte b = buf[i];
-            if (b == '.' && decimals < 0) {
-                decimals = 0;
-            } else if (b >= '0' && b <= '9') {
-                v = v * 10 + (b - '0');
-                digits++;
-                if (decimals >= 0) {
-                    decimals++;
-                }
-            } else {
-                return slowParse(name, from, to);
-            }
-        }
-        if (digits == 0 || digits > 17 || decimals > 9) {
-            return slowParse(name, from, to);
+    private double parseNumber(String name, int from, int to) {
+        double value = WireDecimals.parse(buffer, from, to);
+        if (Double.isNaN(value)) {
+            String text = new String(buffer, from, to - from, StandardCharsets.UTF_8);
+            throw malformed(name, "'" + text + "' is not a number");
         }
-        double d = decimals > 0 ? v / TENTHS[decimals] : v;
-        return minus ? -d : d;
+        return value;
     }
 
-    private double slowParse(String name, int from, int to) {
-        String s = new String(buf, from, to - from, StandardCharsets.UTF_8);
-        try {
-            double d = Double.parseDouble(s);
-            if (!Double.isNaN(d) && !Double.isInfinite(d)) {
-                return d;
-            }
-        } catch (NumberFormatException e) {
-            // told below
+    /** Steps to a field of name:value pairs, which {@link #nextPair} reads; returns false if it is absent. */
+    boolean pairs(String name) {
+        pairsName = name;
+        if (!optionalField(name)) {
+            return false;
         }
-        throw fault(name, "'" + s + "' is not a number");
+        pairEnd = fieldStart - 1;
+        return true;
     }
 
-    /** Steps to a load report; false if none is attached. */
-    boolean report(String name, double[] into, byte[][] names) {
-        optional(name);
-        if (absent()) {
+    /** Steps to the next pair of the current field; returns false at its end. */
+    boolean nextPair() {
+        pairStart = pairEnd + 1;
+        if (pairStart >= fieldEnd) {
             return false;
         }
-        Arrays.fill(into, Double.NaN);
-        int i = start;
-        while (i < end) {
-            int colon = i;
-            while (colon < end && buf[colon] != ':') {
-                colon++;
-            }
-            int stop = colon;
-            while (stop < end && buf[stop] != ',') {
-                stop++;
-            }
-            if (colon == end) {
-                throw fault(name, "'" + text() + "' is not made of name:value pairs");
-            }
-            for (int k = 0; k < names.length; k++) {
-                if (Arrays.equals(names[k], 0, names[k].length, buf, i, colon)) {
-                    into[k] = parse(name, colon + 1, stop);
-                }
-            }
-            i = stop + 1;
+        pairColon = indexOf(':', pairStart);
+        if (pairColon == fieldEnd) {
+            throw malformed(pairsName, "'" + text() + "' is not made of name:value pairs");
         }
+        pairEnd = indexOf(',', pairColon);
         return true;
     }
 
-    WireFormatException fault(String field, String what) {
-        return new WireFormatException("line " + lineNumber + ": field " + field + ": " + what);
+    private int indexOf(char character, int from) {
+        int i = from;
+        while (i < fieldEnd && buffer[i] != character) {
+            i++;
+        }
+        return i;
+    }
+
+    /** Returns true if the current pair has this name. */
+    boolean pairNameIs(String name) {
+        return matches(name, pairStart, pairColon);
+    }
+
+    /** Returns the value of the current pair. */
+    double pairNumber() {
+        return parseNumber(pairsName, pairColon + 1, pairEnd);
+    }
+
+    /** Returns the error that a field of the current line is malformed. */
+    WireFormatException malformed(String field, String reason) {
+        return malformed(field, reason, null);
+    }
+
+    /** Returns the error that a field of the current line is malformed, found by this cause. */
+    WireFormatException malformed(String field, String reason, Throwable cause) {
+        return new WireFormatException(lineNumber, field, reason, cause);
     }
 }
--- a/src/main/java/loadbalancer/simulator/WireWriter.java
+++ b/src/main/java/loadbalancer/simulator/WireWriter.java
@@ -7,88 +7,113 @@
 
 /** Collects a reply as bytes and writes it at once. */
 final class WireWriter {
+    private static final int INITIAL_BUFFER_BYTES = 1 << 14;
+    private static final int MAX_ASCII = 127;
+    /** Bytes in UTF-8 that one {@code char} takes at most. */
+    private static final int MAX_BYTES_PER_CHAR = 3;
+    /** A sign and the digits of a {@code long}. */
+    private static final int MAX_INTEGER_LENGTH = 20;
+
+    private static final int RADIX = 10;
+    private static final int MICROS_PER_MILLI = 1000;
+    private static final int DECIMALS_LENGTH = 4;
+
     private final OutputStream out;
-    private byte[] buf = new byte[1 << 14];
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int size;
 
     WireWriter(OutputStream out) {
         this.out = out;
     }
 
-    private void room(int n) {
-        if (size + n > buf.length) {
-            buf = Arrays.copyOf(buf, Math.max(buf.length * 2, size + n));
+    private void ensureCapacity(int additionalBytes) {
+        if (size + additionalBytes > buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.max(buffer.length * 2, size + additionalBytes));
         }
     }
 
-    WireWriter word(String s) {
-        int n = s.length();
-        room(n * 3 + 1);
-        for (int i = 0; i < n; i++) {
-            char c = s.charAt(i);
-            if (c > 127) {
-                byte[] rest = s.substring(i).getBytes(StandardCharsets.UTF_8);
-                room(rest.length);
-                System.arraycopy(rest, 0, buf, size, rest.length);
-                size += rest.length;
+    private void append(int character) {
+        buffer[size++] = (byte) character;
+    }
+
+    /** Appends text as UTF-8. */
+    WireWriter word(String text) {
+        int length = text.length();
+        ensureCapacity(length * MAX_BYTES_PER_CHAR + 1);
+        for (int i = 0; i < length; i++) {
+            char character = text.charAt(i);
+            if (character > MAX_ASCII) {
+                appendEncoded(text.substring(i));
                 return this;
             }
-            buf[size++] = (byte) c;
+            append(character);
         }
         return this;
     }
 
+    private void appendEncoded(String text) {
+        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+        ensureCapacity(bytes.length);
+        System.arraycopy(bytes, 0, buffer, size, bytes.length);
+        size += bytes.length;
+    }
+
     WireWriter space() {
-        room(1);
-        buf[size++] = ' ';
+        ensureCapacity(1);
+        append(' ');
         return this;
     }
 
-    WireWriter line() {
-        room(1);
-        buf[size++] = '\n';
+    WireWriter endLine() {
+        ensureCapacity(1);
+        append('\n');
         return this;
     }
 
-    WireWriter integer(long v) {
-        room(20);
-        if (v < 0) {
-            buf[size++] = '-';
-            v = -v;
+    WireWriter integer(long value) {
+        ensureCapacity(MAX_INTEGER_LENGTH);
+        if (value < 0) {
+            append('-');
         }
-        int from = size;
+        int digitsStart = size;
+        long remaining = Math.abs(value);
         do {
-            buf[size++] = (byte) ('0' + v % 10);
-            v /= 10;
-        } while (v > 0);
-        for (int i = from, j = size - 1; i < j; i++, j--) {
-            byte b = buf[i];
-            buf[i] = buf[j];
-            buf[j] = b;
-        }
+            append((int) ('0' + remaining % RADIX));
+            remaining /= RADIX;
+        } while (remaining > 0);
+        reverse(digitsStart, size - 1);
         return this;
     }
 
-    /** Milliseconds with three decimals, the simulator's own resolution. */
-    WireWriter millis(double v) {
-        long micros = Math.round(v * 1000);
+    private void reverse(int first, int last) {
+        for (int i = first, j = last; i < j; i++, j--) {
+            byte swapped = buffer[i];
+            buffer[i] = buffer[j];
+            buffer[j] = swapped;
+        }
+    }
+
+    /** Appends milliseconds with three decimals, the simulator's own resolution. */
+    WireWriter millis(double value) {
+        long micros = Math.round(value * MICROS_PER_MILLI);
         if (micros < 0) {
-            room(1);
-            buf[size++] = '-';
+            ensureCapacity(1);
+            append('-');
             micros = -micros;
         }
-        integer(micros / 1000);
-        int rest = (int) (micros % 1000);
-        room(4);
-        buf[size++] = '.';
-        buf[size++] = (byte) ('0' + rest / 100);
-        buf[size++] = (byte) ('0' + rest / 10 % 10);
-        buf[size++] = (byte) ('0' + rest % 10);
+        integer(micros / MICROS_PER_MILLI);
+        int fraction = (int) (micros % MICROS_PER_MILLI);
+        ensureCapacity(DECIMALS_LENGTH);
+        append('.');
+        append('0' + fraction / 100);
+        append('0' + fraction / 10 % 10);
+        append('0' + fraction % 10);
         return this;
     }
 
+    /** Writes what was collected to the stream. */
     void flush() throws IOException {
-        out.write(buf, 0, size);
+        out.write(buffer, 0, size);
         out.flush();
         size = 0;
     }
--- a/src/test/java/loadbalancer/simulator/SimulatorConnectionTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorConnectionTest.java
@@ -13,16 +13,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The adapter: good batches are answered, bad ones name the line and the field. */
+/** The adapter replies to valid batches, and names the line and the field of a malformed one. */
 class SimulatorConnectionTest {
-    private static final String BOOT = "classes.count=1 classes.0.name=get classes.0.effect=idempotent "
+    private static final String SETTINGS = "classes.count=1 classes.0.name=get classes.0.effect=idempotent "
             + "classes.0.slo=500.0 classes.0.deadline=2000.0 classes.0.value=1.0 classes.0.late_worth=0.0 "
             + "discovery=push peers_total=3 ordinal=0 reporting.how=off unknown.key=1 "
             + "limits.attempts_cap=3 limits.may_duplicate=false limits.cancel=true limits.probes=false "
             + "limits.peers=false limits.retry_after=true limits.max_retry_after=1000.0 "
             + "obligations.drain_grace=1000.0 obligations.fall_multiple=3.0 obligations.overload_for=1000.0 "
             + "obligations.cold_share=0.2 obligations.cold=9000.0";
-    private static final String UP = "tick 10.0 1\nup 0 77 " + BOOT + "\ncatalog 0 1\n"
+    private static final String START_BATCH = "tick 10.0 1\nup 0 77 " + SETTINGS + "\ncatalog 0 1\n"
             + "entry 1 U kind hall 0 box -\nmembership 0 1 C 0\neob\n";
 
     private static String play(String text) throws IOException {
@@ -32,23 +32,23 @@
     }
 
     @Test
-    void aRequestIsForwardedAndItsAnswerEndsIt() throws IOException {
-        String reply = play(UP + "tick 20.0 2\norder 0 5 get - - 900.0 - 0 0\neob\n"
+    void forwardsRequestUntilItsOutcome() throws IOException {
+        String reply = play(START_BATCH + "tick 20.0 2\norder 0 5 get - - 900.0 - 0 0\neob\n"
                 + "tick 40.0 3\nanswer 0 5 0 box done 20.0 1 -\ncancelled_by_client 0 5\neob\n");
         assertTrue(reply.contains("forward 0 5 box "), reply);
         assertTrue(reply.endsWith("next 3\n"), reply);
     }
 
     @Test
-    void anEmptyFleetIsRefusedAndALateAnswerIgnored() throws IOException {
-        String reply = play(UP.replace("entry 1 U", "entry 1 D")
+    void rejectsWithoutEndpointsAndIgnoresUnknownOutcome() throws IOException {
+        String reply = play(START_BATCH.replace("entry 1 U", "entry 1 D")
                 + "tick 20.0 2\norder 0 5 get - - 900.0 - 0 0\nanswer 0 9 0 box done 1.0 1 -\neob\n");
         assertTrue(reply.contains("deny 0 5 "), reply);
     }
 
     @Test
-    void aRestartForgetsAndAReusedListNumberIsReadInOrder() throws IOException {
-        String reply = play(UP + "tick 20.0 2\ncrash_now 0\nup 0 78 " + BOOT
+    void restartForgetsStateAndListNumberIsReused() throws IOException {
+        String reply = play(START_BATCH + "tick 20.0 2\ncrash_now 0\nup 0 78 " + SETTINGS
                 + "\ncatalog 0 1\nentry 1 U kind hall 0 fresh -\nmembership 0 2 C 0\n"
                 + "catalog 0 0\norder 0 6 get - - 900.0 - 0 0\nanswer 0 5 0 box done 1.0 1 -\neob\n");
         assertTrue(reply.contains("forward 0 6 fresh "), reply);
@@ -73,10 +73,12 @@
                 "tick 20.0 2~order 0 5 get - - 900.0 - 0 0~ | message",
                 "tick 20.0 2~eo | line"
             })
-    void badInputNamesTheLineAndTheField(String text, String field) {
+    void namesLineAndFieldOfMalformedInput(String text, String field) {
         WireFormatException e = assertThrows(
-                WireFormatException.class, () -> play(UP + text.strip().replace('~', '\n')));
-        assertTrue(e.getMessage().startsWith("line "), e.getMessage());
+                WireFormatException.class, () -> play(START_BATCH + text.strip().replace('~', '\n')));
+        assertTrue(e.getMessage().startsWith("line " + e.line() + ": "), e.getMessage());
+        assertTrue(e.line() > 0, e.getMessage());
+        assertEquals(field, e.field());
         assertTrue(e.getMessage().contains("field " + field + ":"), e.getMessage());
         assertFalse(e.getMessage().contains("\n"));
     }
@@ -91,36 +93,22 @@
         "obligations.cold=9000.0,obligations.cold=x,obligations.cold",
         "classes.count=1,classes.count=2,classes.1.effect"
     })
-    void badSettingsNameTheKey(String good, String bad, String key) {
-        WireFormatException e = assertThrows(WireFormatException.class, () -> play(UP.replace(good, bad)));
-        assertTrue(e.getMessage().contains(key), e.getMessage());
+    void namesPathOfInvalidSetting(String valid, String invalid, String path) {
+        WireFormatException e =
+                assertThrows(WireFormatException.class, () -> play(START_BATCH.replace(valid, invalid)));
+        assertTrue(e.getMessage().contains(path), e.getMessage());
     }
 
     @Test
-    void aHugeBatchIsAnsweredInFull() throws IOException {
-        StringBuilder b = new StringBuilder(UP + "tick 20.0 2\n");
+    void answersLargeBatchCompletely() throws IOException {
+        StringBuilder batch = new StringBuilder(START_BATCH + "tick 20.0 2\n");
         for (int i = 0; i < 20000; i++) {
-            b.append("order 0 ").append(i).append(" get - - 900.0 - 0 0\n");
+            batch.append("order 0 ").append(i).append(" get - - 900.0 - 0 0\n");
         }
-        String reply = play(b + "eob\n");
+        String reply = play(batch + "eob\n");
         long answers = reply.lines()
-                .filter(l -> l.startsWith("forward") || l.startsWith("deny"))
+                .filter(line -> line.startsWith("forward") || line.startsWith("deny"))
                 .count();
         assertEquals(20000, answers);
     }
-
-    @Test
-    void theTableKeepsWhatWasNotRemoved() {
-        LongTable<String> t = new LongTable<>();
-        for (long i = 0; i < 5000; i++) {
-            t.put(i * 1024, "v" + i);
-        }
-        for (long i = 0; i < 5000; i += 2) {
-            t.remove(i * 1024);
-        }
-        assertEquals(2500, t.size());
-        for (long i = 0; i < 5000; i++) {
-            assertEquals(i % 2 == 0 ? null : "v" + i, t.get(i * 1024));
-        }
-    }
 }
--- a/src/test/java/loadbalancer/simulator/SimulatorDriver.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorDriver.java
@@ -17,7 +17,7 @@
 
 /**
  * Stands in for the simulator: drives an adapter with seeded random events that follow from its replies, and keeps
- * what was said on either side. Used to record a transcript only; tests replay the recorded input.
+ * what either side sent. Used to record a transcript only; tests replay the recorded input.
  */
 final class SimulatorDriver {
     private static final int PIPE_BYTES = 1 << 20;
@@ -28,9 +28,12 @@
     private static final List<String> CLASSES = List.of("get", "put", "pay");
 
     /** An attempt that has had no answer yet. */
-    private record Attempt(int sidecar, long request, int number, String endpoint, double sentAt) {}
+    private record Attempt(int sidecar, long request, int number, String endpoint, double sentAtMillis) {}
 
-    /** Both sides of a finished conversation. */
+    /** A wake-up that an instance asked for. */
+    private record Wake(int sidecar, double atMillis) {}
+
+    /** Both sides of a completed conversation. */
     record Transcript(String input, String output) {}
 
     private final Random random;
@@ -39,7 +42,7 @@
     private final StringBuilder input = new StringBuilder();
     private final StringBuilder output = new StringBuilder();
     private final List<Attempt> attempts = new ArrayList<>();
-    private final List<double[]> wakes = new ArrayList<>();
+    private final List<Wake> wakes = new ArrayList<>();
     private final int[] attemptsOf = new int[100_000];
     private double now = 1000;
     private long requests;
@@ -67,7 +70,7 @@
                 }
             });
             for (int batch = 1; batch <= batches; batch++) {
-                driver.batch(batch, events, reader);
+                driver.exchangeBatch(batch, events, reader);
             }
             events.close();
             adapter.get();
@@ -75,7 +78,7 @@
         return new Transcript(driver.input.toString(), driver.output.toString());
     }
 
-    private void batch(int number, BufferedWriter events, BufferedReader replies) throws IOException {
+    private void exchangeBatch(int number, BufferedWriter events, BufferedReader replies) throws IOException {
         now += random.nextInt(30) == 0 ? random.nextInt(1500) : 1 + random.nextInt(20);
         StringBuilder batch = new StringBuilder("tick ")
                 .append(number(now))
@@ -83,13 +86,13 @@
                 .append(number)
                 .append('\n');
         if (number == 1) {
-            start(batch, 0);
-            start(batch, 1);
+            appendStart(batch, 0);
+            appendStart(batch, 1);
         }
-        dueWakes(batch);
+        appendDueWakes(batch);
         int count = random.nextInt(MAX_EVENTS);
         for (int i = 0; i < count; i++) {
-            event(batch, random.nextInt(200));
+            appendEvent(batch, random.nextInt(200));
         }
         batch.append("eob\n");
         input.append(batch);
@@ -100,11 +103,11 @@
             if (line.startsWith("next ")) {
                 return;
             }
-            follow(line.split(" "));
+            applyAction(line.split(" "));
         }
     }
 
-    private void start(StringBuilder batch, int sidecar) {
+    private void appendStart(StringBuilder batch, int sidecar) {
         batch.append("up ")
                 .append(sidecar)
                 .append(' ')
@@ -136,26 +139,26 @@
         batch.append(" limits.peers=true limits.retry_after=true limits.max_retry_after=1000.0");
         batch.append(" obligations.drain_grace=1000.0 obligations.fall_multiple=3.0 obligations.overload_for=1500.0");
         batch.append(" obligations.cold_share=0.2 obligations.cold=9000.0 obligations.ask_within=8000\n");
-        list(batch, sidecar, "F");
+        appendList(batch, sidecar, "F");
     }
 
-    private void dueWakes(StringBuilder batch) {
-        for (double[] wake : List.copyOf(wakes)) {
-            if (wake[1] <= now) {
+    private void appendDueWakes(StringBuilder batch) {
+        for (Wake wake : List.copyOf(wakes)) {
+            if (wake.atMillis <= now) {
                 wakes.remove(wake);
-                batch.append("deadline_hit ").append((int) wake[0]).append(" period\n");
+                batch.append("deadline_hit ").append(wake.sidecar).append(" period\n");
             }
         }
     }
 
-    private void event(StringBuilder batch, int kind) {
+    private void appendEvent(StringBuilder batch, int kind) {
         int sidecar = random.nextInt(2);
         if (kind < 90) {
-            request(batch, sidecar);
+            appendRequest(batch, sidecar);
         } else if (kind < 172) {
-            answer(batch);
+            appendOutcome(batch);
         } else if (kind < 180) {
-            list(batch, sidecar, List.of("D", "F", "C").get(random.nextInt(3)));
+            appendList(batch, sidecar, List.of("D", "F", "C").get(random.nextInt(3)));
         } else if (kind < 182) {
             batch.append("membership ").append(sidecar).append(" - X 0\n");
         } else if (kind < 186) {
@@ -177,12 +180,12 @@
         } else if (kind == 199) {
             batch.append("crash_now ").append(sidecar).append('\n');
             attempts.removeIf(attempt -> attempt.sidecar == sidecar);
-            wakes.removeIf(wake -> wake[0] == sidecar);
-            start(batch, sidecar);
+            wakes.removeIf(wake -> wake.sidecar == sidecar);
+            appendStart(batch, sidecar);
         }
     }
 
-    private void request(StringBuilder batch, int sidecar) {
+    private void appendRequest(StringBuilder batch, int sidecar) {
         batch.append("order ").append(sidecar).append(' ').append(requests++).append(' ');
         batch.append(CLASSES.get(random.nextInt(CLASSES.size()))).append(' ');
         batch.append(List.of("a", "b", "-", "0").get(random.nextInt(4))).append(" stop-");
@@ -190,13 +193,13 @@
         batch.append(random.nextBoolean() ? " - 0 0\n" : " 12.5 1 -\n");
     }
 
-    private void answer(StringBuilder batch) {
+    private void appendOutcome(StringBuilder batch) {
         if (attempts.isEmpty()) {
             return;
         }
         Attempt ended = attempts.remove(random.nextInt(attempts.size()));
-        boolean served = random.nextInt(3) > 0;
-        String disposition = served ? "done" : DISPOSITIONS.get(random.nextInt(DISPOSITIONS.size()));
+        boolean successful = random.nextInt(3) > 0;
+        String disposition = successful ? "done" : DISPOSITIONS.get(random.nextInt(DISPOSITIONS.size()));
         batch.append("answer ")
                 .append(ended.sidecar)
                 .append(' ')
@@ -208,7 +211,7 @@
                 .append(' ')
                 .append(disposition)
                 .append(' ');
-        batch.append(number(now - ended.sentAt)).append(disposition.equals("done") ? " 1 " : " 0 ");
+        batch.append(number(now - ended.sentAtMillis)).append(disposition.equals("done") ? " 1 " : " 0 ");
         batch.append(telemetry()).append('\n');
     }
 
@@ -220,7 +223,7 @@
         };
     }
 
-    private void list(StringBuilder batch, int sidecar, String scope) {
+    private void appendList(StringBuilder batch, int sidecar, String scope) {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
             if (!scope.equals("D") || random.nextInt(5) == 0) {
@@ -246,14 +249,14 @@
         batch.append('\n');
     }
 
-    private void follow(String[] action) {
+    private void applyAction(String[] action) {
         int sidecar = Integer.parseInt(action[1]);
         switch (action[0]) {
             case "forward" -> {
                 int request = Integer.parseInt(action[2]);
                 attempts.add(new Attempt(sidecar, request, attemptsOf[request]++, action[3], now));
             }
-            case "wake_me" -> wakes.add(new double[] {sidecar, Double.parseDouble(action[3])});
+            case "wake_me" -> wakes.add(new Wake(sidecar, Double.parseDouble(action[3])));
             default -> {}
         }
     }
