--- a/src/main/java/loadbalancer/simulator/WireReader.java
+++ b/src/main/java/loadbalancer/simulator/WireReader.java
@@ -151,7 +151,7 @@
     /** Reads the rest of the line. */
     String rest() {
         int length = Math.max(0, lineEnd - nextFieldStart);
-        String rest = length == 0 ? "" : new String(buffer, nextFieldStart, length, StandardCharsets.UTF_8);
+        String rest = new String(buffer, lineEnd - length, length, StandardCharsets.UTF_8);
         nextFieldStart = lineEnd;
         return rest;
     }
@@ -177,13 +177,10 @@
             return defaultValue;
         }
         T value = find(words);
-        if (value != null) {
-            return value;
-        }
-        if (is("0")) {
-            return defaultValue;
+        if (value == null && !is("0")) {
+            throw unknownWord(name);
         }
-        throw unknownWord(name);
+        return value == null ? defaultValue : value;
     }
 
     private WireFormatException unknownWord(String name) {
--- a/src/test/java/loadbalancer/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryClientTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One watch against what the service may do to it: pieces, malformed lists, idleness, and a migration at any moment. */
+/** A watch against what the service may do to it: pieces, malformed lists, idleness, and migration at any moment. */
 class DiscoveryClientTest {
     private final DiscoveryClientFixture fixture = new DiscoveryClientFixture();
 
