--- /dev/null
+++ b/src/main/java/loadbalancer/policy/DiscoveryPollSchedule.java
@@ -0,0 +1,123 @@
+package loadbalancer.policy;
+
+import java.util.SplittableRandom;
+
+/**
+ * When to open the watch on the endpoint list.
+ *
+ * <p>A discovery service that starts or returns must not be met by all sidecars at once: it would reject most of them,
+ * and they would keep it overloaded. So polls are spread by the number of sidecars, with exponential backoff.
+ */
+final class DiscoveryPollSchedule {
+    /** Backoff after the first failure; doubled with each further one. Tuned. */
+    private static final double MIN_BACKOFF_MILLIS = 300;
+
+    /** Longest backoff. Tuned. */
+    private static final double MAX_BACKOFF_MILLIS = 1000;
+
+    /** Longest time from poll to poll; two fit in the protocol's 6 s within which a list must be known again. */
+    private static final double MAX_CYCLE_MILLIS = 2500;
+
+    /** Time over which polls are spread, for each sidecar of the fleet. Tuned. */
+    private static final double SPREAD_MILLIS_PER_SIDECAR = 10;
+
+    /** The spread at most, as a fraction of the poll deadline. Tuned. */
+    private static final double MAX_SPREAD_DEADLINE_FRACTION = 0.4;
+
+    /** Longest spread after a move, which must be known within 4 s; two polls that queue must fit behind it. */
+    private static final double MAX_MOVE_SPREAD_MILLIS = 1000;
+
+    /** A failed poll is repeated after 0.5 to 1.5 times the backoff, drawn anew each time. Own choice. */
+    private static final double MIN_BACKOFF_FACTOR = 0.5;
+
+    private static final double MAX_BACKOFF_FACTOR = 1.5;
+
+    private final PolicySettings settings;
+    private final SplittableRandom random;
+    private final PolicyActions actions;
+    /** NaN while no poll is due. */
+    private double nextPollMillis = Double.NaN;
+
+    private double backoffMillis = MIN_BACKOFF_MILLIS;
+    /** When the last poll began, unless it has brought a list. */
+    private double unansweredPollMillis = Double.POSITIVE_INFINITY;
+
+    private boolean polled;
+
+    DiscoveryPollSchedule(PolicySettings settings, SplittableRandom random, PolicyActions actions) {
+        this.settings = settings;
+        this.random = random;
+        this.actions = actions;
+    }
+
+    /** Schedules the first poll, unless lists are pushed. */
+    void start(double nowMillis) {
+        if (settings.endpointListPolled()) {
+            pollWithin(nowMillis, spreadMillis());
+        }
+    }
+
+    /**
+     * The watch was idle for too long. That is no sign of a fault, and what changed meanwhile is due soon: the poll
+     * goes out at once, since the sidecars' idle timeouts are randomized already.
+     */
+    void idleTimeout(double nowMillis) {
+        backoffMillis = MIN_BACKOFF_MILLIS;
+        pollWithin(nowMillis, 0);
+    }
+
+    /** Discovery moved, for all sidecars at once. */
+    void moved(double nowMillis) {
+        backoffMillis = MIN_BACKOFF_MILLIS;
+        pollWithin(nowMillis, Math.min(MAX_MOVE_SPREAD_MILLIS, spreadMillis()));
+    }
+
+    /** The poll or the watch failed; backoff and spread are fitted into what is left of the cycle. */
+    void failed(double nowMillis) {
+        double pollDeadlineMillis = settings.rules().pollDeadlineMillis();
+        double longestMillis = backoffMillis * MAX_BACKOFF_FACTOR + spreadMillis();
+        double cycleMillis = Math.min(MAX_CYCLE_MILLIS, pollDeadlineMillis);
+        double leftMillis = cycleMillis - Math.max(0, nowMillis - unansweredPollMillis);
+        double scale = Math.min(1, Math.max(MIN_BACKOFF_MILLIS, leftMillis) / longestMillis);
+        double fromMillis = nowMillis + scale * backoffMillis * (MIN_BACKOFF_FACTOR + random.nextDouble());
+        pollWithin(fromMillis, scale * spreadMillis());
+        if (backoffMillis == MIN_BACKOFF_MILLIS) {
+            actions.log("endpoint list unavailable, using the last known list");
+        }
+        backoffMillis = Math.min(Math.min(MAX_BACKOFF_MILLIS, pollDeadlineMillis), backoffMillis * 2);
+    }
+
+    /** A current list, or changes to it, arrived. */
+    void listReceived() {
+        if (!polled) {
+            return;
+        }
+        if (backoffMillis > MIN_BACKOFF_MILLIS) {
+            actions.log("endpoint list available again");
+        }
+        nextPollMillis = Double.NaN;
+        backoffMillis = MIN_BACKOFF_MILLIS;
+        unansweredPollMillis = Double.POSITIVE_INFINITY;
+    }
+
+    /** Polls if the time has come. */
+    void wake(double nowMillis) {
+        if (nextPollMillis <= nowMillis) {
+            nextPollMillis = Double.NaN;
+            polled = true;
+            unansweredPollMillis = nowMillis;
+            actions.watchEndpoints();
+        }
+    }
+
+    private void pollWithin(double fromMillis, double spreadMillis) {
+        nextPollMillis = fromMillis + spreadMillis * random.nextDouble();
+        actions.scheduleWake(nextPollMillis);
+    }
+
+    private double spreadMillis() {
+        return Math.min(
+                settings.rules().pollDeadlineMillis() * MAX_SPREAD_DEADLINE_FRACTION,
+                settings.sidecarCount() * SPREAD_MILLIS_PER_SIDECAR);
+    }
+}
--- /dev/null
+++ b/src/main/java/loadbalancer/policy/SubsetSelector.java
@@ -0,0 +1,133 @@
+package loadbalancer.policy;
+
+import java.util.List;
+
+/**
+ * The subset of the endpoints to which this sidecar forwards: the first ones by rank, as many as its traffic needs.
+ *
+ * <p>In a large fleet a wide subset costs connections at every endpoint, and leaves a light sidecar no evidence on any
+ * one of them.
+ */
+final class SubsetSelector {
+    /** The smallest subset. Tuned. */
+    private static final int MIN_SIZE = 3;
+
+    /** Connections at an endpoint up to which all sidecars together may widen their subsets freely. Tuned. */
+    private static final double FREE_CONNECTIONS_PER_ENDPOINT = 12;
+
+    /** The size that is free in that case, and the size for each attempt in flight. Tuned. */
+    private static final double FREE_SIZE = 8;
+
+    private static final double FREE_SIZE_PER_IN_FLIGHT = 2;
+
+    /** Weight of a period in the averages by which the subset is sized, as they rise and as they fall. Tuned. */
+    private static final double RISE_WEIGHT = 0.2;
+
+    private static final double FALL_WEIGHT = 0.01;
+
+    private static final EndpointState[] NO_ENDPOINTS = new EndpointState[0];
+
+    private final int sidecarCount;
+    private final double periodMillis;
+    private EndpointState[] ready = NO_ENDPOINTS;
+    private EndpointState[] ranked = NO_ENDPOINTS;
+    private EndpointState[] shuffled = NO_ENDPOINTS;
+    private int size = MIN_SIZE;
+    /** Averages of the attempts in flight that the traffic needs when all is healthy, and of those that there are. */
+    private double healthyInFlight;
+
+    private double inFlight;
+
+    SubsetSelector(int sidecarCount, double periodMillis) {
+        this.sidecarCount = Math.max(1, sidecarCount);
+        this.periodMillis = periodMillis;
+    }
+
+    /** The subset by rank; not to be changed. */
+    EndpointState[] ranked() {
+        return ranked;
+    }
+
+    /** The subset in the order in which the last walk left it; a walk may reorder it. */
+    EndpointState[] shuffled() {
+        return shuffled;
+    }
+
+    /** Every endpoint that the list calls ready; a walk may reorder them. */
+    EndpointState[] ready() {
+        return ready;
+    }
+
+    /** Ready endpoints for each place in the subsets of the fleet. */
+    double endpointsPerPlace() {
+        return ready.length / (Math.max(1.0, ranked.length) * sidecarCount);
+    }
+
+    /** Picks the subset anew from the endpoints that take requests. */
+    void select(double nowMillis, List<EndpointState> endpoints) {
+        endpoints.sort(SubsetSelector::compareByRank);
+        ready = endpoints.toArray(NO_ENDPOINTS);
+        for (EndpointState endpoint : ranked) {
+            endpoint.leftSubsetAt(nowMillis);
+        }
+        size = wantedSize();
+        ranked = endpoints.subList(0, Math.min(ready.length, size)).toArray(NO_ENDPOINTS);
+        shuffled = ranked.clone();
+        for (EndpointState endpoint : ranked) {
+            endpoint.drop().recoverIdlePeriods((nowMillis - endpoint.leftSubsetAtMillis()) / periodMillis);
+        }
+        updateRelativeSizes();
+    }
+
+    private static int compareByRank(EndpointState first, EndpointState second) {
+        return first.rank() != second.rank()
+                ? Long.compare(first.rank(), second.rank())
+                : first.id().compareTo(second.id());
+    }
+
+    /**
+     * Takes a period's attempts in flight into the averages.
+     *
+     * @param healthy what would be in flight, at the rate that the subset answers, if it were healthy
+     * @param active what is in flight and not stalled
+     */
+    void endPeriod(double healthy, int active) {
+        healthyInFlight += (healthy - healthyInFlight) * (healthy > healthyInFlight ? RISE_WEIGHT : FALL_WEIGHT);
+        inFlight += (active - inFlight) * (active > inFlight ? RISE_WEIGHT : FALL_WEIGHT);
+    }
+
+    /** True if the subset is to be picked anew because the traffic has changed; a size one too large is kept. */
+    boolean sizeOutdated() {
+        int wanted = wantedSize();
+        return wanted > size || wanted < size - 1;
+    }
+
+    /**
+     * As many endpoints as the traffic has attempts in flight when healthy. What is in flight now counts only while
+     * there are connections to spare: in a large fleet an overload would widen every subset, and the wider subsets
+     * would keep up the overload.
+     */
+    private int wantedSize() {
+        double connections = ready.length * FREE_CONNECTIONS_PER_ENDPOINT / sidecarCount;
+        double free = Math.min(connections, Math.max(FREE_SIZE, FREE_SIZE_PER_IN_FLIGHT * inFlight));
+        return (int) Math.ceil(Math.max(healthyInFlight, Math.max(MIN_SIZE, free)));
+    }
+
+    /** Compares each endpoint's capacity with the largest of the subset: by load reports, else by the list. */
+    void updateRelativeSizes() {
+        double maxWeight = 0;
+        double maxCapacity = 0;
+        for (EndpointState endpoint : ranked) {
+            maxWeight = Math.max(maxWeight, endpoint.entry().capacityWeight());
+            maxCapacity = Math.max(maxCapacity, endpoint.reportedLoad().capacityPerSecond());
+        }
+        for (EndpointState endpoint : ranked) {
+            double capacity = endpoint.reportedLoad().capacityPerSecond();
+            if (capacity > 0) {
+                endpoint.relativeSize(capacity / maxCapacity);
+            } else {
+                endpoint.relativeSize(maxWeight > 0 ? endpoint.entry().capacityWeight() / maxWeight : 1);
+            }
+        }
+    }
+}
