--- a/src/main/java/loadbalancer/policy/EndpointTable.java
+++ b/src/main/java/loadbalancer/policy/EndpointTable.java
@@ -21,7 +21,15 @@
         return endpoints.get(id);
     }
 
-    /** Takes in a list, or changes to it. */
+    int size() {
+        return endpoints.size();
+    }
+
+    /**
+     * Takes in a list, or changes to it.
+     *
+     * @param complete true if what the list does not name has left it
+     */
     void update(double nowMillis, boolean complete, List<Endpoint> entries) {
         if (complete) {
             for (EndpointState endpoint : endpoints.values()) {
--- a/src/main/java/loadbalancer/policy/LossThrottlingPolicy.java
+++ b/src/main/java/loadbalancer/policy/LossThrottlingPolicy.java
@@ -261,6 +261,11 @@
         }
     }
 
+    /** Endpoints that the policy keeps state of: those on the list, and those that left it with attempts in flight. */
+    int knownEndpoints() {
+        return endpoints.size();
+    }
+
     private void schedulePeriodEnd(double nowMillis, double inMillis) {
         periodEndMillis = nowMillis + inMillis;
         actions.scheduleWake(periodEndMillis + WAKE_DELAY_MILLIS);
