--- a/src/main/java/loadbalancer/policy/BalancingPolicy.java
+++ b/src/main/java/loadbalancer/policy/BalancingPolicy.java
@@ -15,7 +15,7 @@
     /** The endpoint list, changes to it, or the loss of the watch on it. */
     void endpointsChanged(double now, WatchEvent event, List<Endpoint> endpoints);
 
-    /** A client's request arrived; it is owed one final response. */
+    /** A client's request arrived; the policy has to see to one final response. */
     void requestArrived(double now, PolicyRequest request);
 
     /**
@@ -23,7 +23,7 @@
      *
      * @param attempt its number among the attempts of the request, from 0
      * @param durationMillis how long it was in flight
-     * @param finished true if the client has had its final response; otherwise it is still owed
+     * @param finished true if the client has had its final response; otherwise the policy still has to see to one
      * @param report the endpoint's load report, or null
      */
     void attemptEnded(
@@ -35,10 +35,10 @@
             boolean finished,
             LoadReport report);
 
-    /** The response to an attempt began to stream to the client, which ends the policy's duty to the request. */
+    /** The response to an attempt began to stream to the client, and it is the final one. */
     void responseStreaming(double now, PolicyRequest request, int attempt);
 
-    /** The client disconnected; nothing more is owed. */
+    /** The client disconnected; no response is needed any more. */
     void clientDisconnected(double now, PolicyRequest request);
 
     /** A probe ended; {@code report} is null unless one came. */
@@ -47,6 +47,6 @@
     /** Another sidecar sent a message. */
     void messageReceived(double now, int from, byte[] message);
 
-    /** The time asked for with {@link PolicyActions#scheduleWake} has come. */
+    /** A time scheduled with {@link PolicyActions#scheduleWake} has come. */
     void wake(double now);
 }
--- a/src/main/java/loadbalancer/policy/ConcurrencyGuard.java
+++ b/src/main/java/loadbalancer/policy/ConcurrencyGuard.java
@@ -5,25 +5,28 @@
  * It acts on a burst, or on an endpoint that becomes slow, within one period, since outcomes arrive later than that.
  */
 final class ConcurrencyGuard {
-    /** Attempts added to both sides of a comparison, so that small numbers differ less. Tuned. */
+    /** Attempts added to both sides of a comparison, so that small numbers differ less. Inherited. */
     private static final double SLACK = 0.5;
 
-    /** Attempts that an endpoint may have in any case: one is no overload. Own choice. */
+    /** Attempts that an endpoint may have in any case: one is no overload. Inherited. */
     private static final double MIN_HEALTHY_IN_FLIGHT = 1;
 
     /**
-     * Multiple of what the subset has in flight when healthy that is let pass. Tuned; the draw is one for each request,
-     * since a drop fraction that all endpoints have in common cuts nothing where each is drawn against in turn.
+     * Multiple of what the subset has in flight when healthy up to which nothing is dropped. Tuned: at 2 the
+     * endpoints became slow and stayed so, at 1.3 ordinary swings were cut.
      */
     private static final double SUBSET_MULTIPLE = 1.6;
 
     /**
-     * Standard deviations of that number which are let pass too. Tuned; without them a light sidecar rejects requests
-     * on a quiet day.
+     * Square roots of that number which are allowed besides: its standard deviations, if attempts are independent.
+     * Tuned on the simulator: without them a light sidecar rejected 3 % of its requests on a quiet day.
      */
     private static final double SUBSET_DEVIATIONS = 1.3;
 
-    /** Attempts for each endpoint of the subset that its sidecars may have, whatever was answered. Tuned. */
+    /**
+     * Attempts that all sidecars together may have for each endpoint, whatever was answered. Tuned: 5 was
+     * worse.
+     */
     private static final double MIN_IN_FLIGHT_PER_ENDPOINT = 3;
 
     private final double maxReportAgeMillis;
@@ -64,7 +67,11 @@
         activeInFlight = active;
     }
 
-    /** The fraction of requests to drop for the attempts in flight at the whole subset. */
+    /**
+     * The fraction of requests to drop for the attempts in flight at the whole subset. It is drawn against once for a
+     * request: a fraction that all endpoints have in common, drawn against at each in turn, is passed by nearly every
+     * request somewhere in a wide subset.
+     */
     double subsetDropFraction() {
         return dropFraction((subsetLimit + SLACK) / (activeInFlight + SLACK));
     }
--- a/src/main/java/loadbalancer/policy/DiscoveryPollSchedule.java
+++ b/src/main/java/loadbalancer/policy/DiscoveryPollSchedule.java
@@ -9,25 +9,31 @@
  * and they would keep it overloaded. So polls are spread by the number of sidecars, with exponential backoff.
  */
 final class DiscoveryPollSchedule {
-    /** Backoff after the first failure; doubled with each further one. Tuned. */
+    /** Backoff after the first failure; doubled with each further one. Inherited. */
     private static final double MIN_BACKOFF_MILLIS = 300;
 
-    /** Longest backoff. Tuned. */
+    /** Longest backoff. Own choice: it leaves time for a poll within the longest cycle. */
     private static final double MAX_BACKOFF_MILLIS = 1000;
 
-    /** Longest time from poll to poll; two fit in the protocol's 6 s within which a list must be known again. */
+    /**
+     * Longest time from poll to poll. By the protocol a change counts as known 6 s after discovery can be reached; two
+     * cycles fit in that.
+     */
     private static final double MAX_CYCLE_MILLIS = 2500;
 
-    /** Time over which polls are spread, for each sidecar of the fleet. Tuned. */
+    /** Time over which polls are spread, for each sidecar of the fleet. Inherited. */
     private static final double SPREAD_MILLIS_PER_SIDECAR = 10;
 
-    /** The spread at most, as a fraction of the poll deadline. Tuned. */
+    /** The spread at most, as a fraction of the poll deadline. Inherited. */
     private static final double MAX_SPREAD_DEADLINE_FRACTION = 0.4;
 
-    /** Longest spread after a move, which must be known within 4 s; two polls that queue must fit behind it. */
+    /**
+     * Longest spread after a move. What changed counts as known 4 s later; two polls that queue at discovery fit behind
+     * the spread.
+     */
     private static final double MAX_MOVE_SPREAD_MILLIS = 1000;
 
-    /** A failed poll is repeated after 0.5 to 1.5 times the backoff, drawn anew each time. Own choice. */
+    /** A failed poll is repeated after 0.5 to 1.5 times the backoff, drawn anew each time. Inherited. */
     private static final double MIN_BACKOFF_FACTOR = 0.5;
 
     private static final double MAX_BACKOFF_FACTOR = 1.5;
--- a/src/main/java/loadbalancer/policy/EndpointPicker.java
+++ b/src/main/java/loadbalancer/policy/EndpointPicker.java
@@ -88,8 +88,8 @@
     }
 
     private double dropFraction(double nowMillis, EndpointState endpoint) {
-        double coldFraction = 1 - slowStart.capacityFraction(nowMillis, endpoint);
-        double fraction = Math.max(endpoint.drop().dropFraction(), coldFraction);
+        double slowStartDrop = 1 - slowStart.capacityFraction(nowMillis, endpoint);
+        double fraction = Math.max(endpoint.drop().dropFraction(), slowStartDrop);
         return 1 - (1 - fraction) * (1 - concurrency.endpointDropFraction(nowMillis, endpoint));
     }
 }
--- a/src/main/java/loadbalancer/policy/EndpointState.java
+++ b/src/main/java/loadbalancer/policy/EndpointState.java
@@ -95,7 +95,7 @@
         return relativeSize;
     }
 
-    void relativeSize(double size) {
+    void setRelativeSize(double size) {
         relativeSize = size;
     }
 
--- a/src/main/java/loadbalancer/policy/LatencyBaseline.java
+++ b/src/main/java/loadbalancer/policy/LatencyBaseline.java
@@ -11,19 +11,19 @@
  * in it are already late.
  */
 final class LatencyBaseline {
-    /** Multiple of the usual latency from which a response is fully late. Tuned. */
+    /** Multiple of the usual latency from which a response is fully late. Inherited. */
     private static final double FULLY_LATE_MULTIPLE = 5;
 
-    /** Weight of a response in the recent mean latency of its class. Tuned. */
+    /** Weight of a response in the recent mean latency of its class. Inherited. */
     private static final double RECENT_WEIGHT = 0.05;
 
-    /** Part of the distance to the recent mean by which the usual latency rises in a period. Tuned. */
+    /** Part of the distance to the recent mean by which the usual latency rises in a period. Inherited. */
     private static final double UPWARD_DRIFT_PER_PERIOD = 0.0003;
 
-    /** Usual latency before any response, as a fraction of the latency objective. Tuned. */
+    /** Usual latency before any response, as a fraction of the latency objective. Inherited. */
     private static final double INITIAL_OBJECTIVE_FRACTION = 0.3;
 
-    /** Part of the sums of latencies that is kept from period to period: about a second of responses. Tuned. */
+    /** Part of the sums of latencies that is kept from period to period: about a second of responses. Inherited. */
     private static final double SUM_RETAINED_PER_PERIOD = 0.95;
 
     private final double[] recentMillis;
--- a/src/main/java/loadbalancer/policy/LossThrottlingPolicy.java
+++ b/src/main/java/loadbalancer/policy/LossThrottlingPolicy.java
@@ -14,31 +14,29 @@
  * one generator, so the same seed and the same events give the same actions.
  */
 public final class LossThrottlingPolicy implements BalancingPolicy {
-    /** The control period as a fraction of the shortest latency objective, so that a client's wait has several. */
+    /**
+     * The control period as a fraction of the shortest latency objective: several steps fit in a client's wait.
+     * Inherited.
+     */
     private static final double PERIOD_OBJECTIVE_FRACTION = 0.1;
 
-    /** Shortest control period. Own choice. */
+    /** Shortest control period. Inherited. */
     private static final double MIN_PERIOD_MILLIS = 10;
 
-    /** Each period is drawn from 0.9 to 1.1 of its length, the first from 0.5 to 1.5, so that sidecars part. */
+    /** Each period is drawn from 0.9 to 1.1 times its length, so that sidecars do not act in step. Inherited. */
     private static final double MIN_PERIOD_FACTOR = 0.9;
 
     private static final double PERIOD_FACTOR_RANGE = 0.2;
+
+    /** The first one is drawn from 0.5 to 1.5 times its length, for the same reason. Inherited. */
     private static final double MIN_FIRST_PERIOD_FACTOR = 0.5;
 
-    /** A wake is scheduled so much after its time, which is finer than any clock, and so never comes too early. */
+    /**
+     * Time after the end of a period at which to wake, so that a rounded clock never shows it too early. Own choice: less
+     * than any clock resolves.
+     */
     private static final double WAKE_DELAY_MILLIS = 0.01;
 
-    /** Retry-After as fractions of the latency objective: the least, and what a drop percentage of 100 adds. Tuned. */
-    private static final double MIN_RETRY_AFTER_OBJECTIVES = 0.15;
-
-    private static final double FULL_DROP_RETRY_AFTER_OBJECTIVES = 0.3;
-
-    /** It is drawn from 0.75 to 1.25 of that, so that rejected clients do not return together. */
-    private static final double MIN_RETRY_AFTER_FACTOR = 0.75;
-
-    private static final double RETRY_AFTER_FACTOR_RANGE = 0.5;
-
     private final PolicySettings settings;
     private final PolicyActions actions;
     private final SplittableRandom random;
@@ -54,6 +52,7 @@
     private final ConcurrencyGuard concurrency;
     private final SlowStartBudget slowStart;
     private final RetryBudget retries = new RetryBudget();
+    private final RetryAfterCalculator retryAfter;
     private final ProbeScheduler probes;
     private final EndpointPicker picker;
     private double startedAtMillis;
@@ -82,6 +81,7 @@
         this.outcomes = new OutcomeRecorder(latencies);
         this.concurrency = new ConcurrencyGuard(shortestObjectiveMillis);
         this.slowStart = new SlowStartBudget(settings.rules(), random);
+        this.retryAfter = new RetryAfterCalculator(settings.limits().maxRetryAfterMillis(), random);
         this.probes = new ProbeScheduler(settings, shortestObjectiveMillis, actions);
         this.picker = new EndpointPicker(random, subset, priorities, concurrency, slowStart);
     }
@@ -152,27 +152,12 @@
     private void endWithoutAttempt(double nowMillis, RequestState request) {
         request.markCompleted();
         if (nowMillis < request.deadlineAtMillis() && request.clientMayRetry()) {
-            actions.reject(request.request(), retryAfterMillis(request.requestClass()));
+            actions.reject(request.request(), retryAfter.millis(request.requestClass(), subset.shuffled()));
         } else {
             actions.fail(request.request());
         }
     }
 
-    private double retryAfterMillis(RequestClass requestClass) {
-        EndpointState[] candidates = subset.shuffled();
-        double sum = 0;
-        for (EndpointState endpoint : candidates) {
-            sum += endpoint.drop().dropFraction();
-        }
-        double meanDropFraction = candidates.length == 0 ? 1 : sum / candidates.length;
-        double objectives = MIN_RETRY_AFTER_OBJECTIVES + FULL_DROP_RETRY_AFTER_OBJECTIVES * meanDropFraction;
-        return Math.min(
-                settings.limits().maxRetryAfterMillis(),
-                requestClass.latencyObjectiveMillis()
-                        * objectives
-                        * (MIN_RETRY_AFTER_FACTOR + RETRY_AFTER_FACTOR_RANGE * random.nextDouble()));
-    }
-
     @Override
     public void attemptEnded(
             double nowMillis,
--- a/src/main/java/loadbalancer/policy/OperatorRules.java
+++ b/src/main/java/loadbalancer/policy/OperatorRules.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy;
 
 /**
- * The figures of the operators' rules on draining and on endpoints that warm up.
+ * The figures of the operators' rules on draining, slow start and polling; times are in milliseconds.
  *
  * @param drainGraceMillis for how long after a notification requests may still go to a draining endpoint
  * @param overloadMultiple multiple of its current capacity at which an endpoint in slow start becomes overloaded
--- a/src/main/java/loadbalancer/policy/PolicyRequest.java
+++ b/src/main/java/loadbalancer/policy/PolicyRequest.java
@@ -13,11 +13,11 @@
     /**
      * A request that has just arrived.
      *
-     * @param id the embedder's name for it
+     * @param id the embedder's identifier
      * @param classIndex position of its class in the settings
      * @param tenantIndex position of its tenant in the settings, or -1
-     * @param timeoutMillis how long until the client gives up
-     * @param clientRetry true if the client says that it asks again
+     * @param timeoutMillis time after its arrival at which the client gives up
+     * @param clientRetry true if the client announces that it retries
      */
     public PolicyRequest(long id, int classIndex, int tenantIndex, double timeoutMillis, boolean clientRetry) {
         this.id = id;
@@ -27,7 +27,7 @@
         this.clientRetry = clientRetry;
     }
 
-    /** The embedder's name for it. */
+    /** The embedder's identifier. */
     public long id() {
         return id;
     }
@@ -47,7 +47,7 @@
         return timeoutMillis;
     }
 
-    /** True if the client says that it asks again. */
+    /** True if the client announces that it retries. */
     public boolean clientRetry() {
         return clientRetry;
     }
--- a/src/main/java/loadbalancer/policy/PolicySettings.java
+++ b/src/main/java/loadbalancer/policy/PolicySettings.java
@@ -3,14 +3,17 @@
 import java.util.List;
 
 /**
- * Everything that the policy is told at start.
+ * Everything that a policy knows at its start.
  *
  * @param classes the classes of requests, at least one
  * @param tenants the tenants, or none
+ * @param limits what the deployment allows
+ * @param rules figures of the operators' rules
+ * @param reporting how load reports arrive
  * @param overQuotaWeight factor, from 0 to 1, on the priority weight of traffic over its tenant's quota
- * @param endpointListPolled true if the policy has to ask for the endpoint list, false if it is pushed
+ * @param endpointListPolled true if the policy has to open the watch on the endpoint list, false if lists are pushed
  * @param sidecarCount sidecars in the fleet
- * @param ordinal the number of this one, from 0
+ * @param ordinal number of this sidecar, from 0
  */
 public record PolicySettings(
         List<RequestClass> classes,
--- a/src/main/java/loadbalancer/policy/ProbeScheduler.java
+++ b/src/main/java/loadbalancer/policy/ProbeScheduler.java
@@ -2,17 +2,17 @@
 
 /** Probes the endpoints of the subset for their load in turn, as far as requests pay for it. */
 final class ProbeScheduler {
-    /** What probes may cost, in the settings' price of one probe a request. Tuned. */
+    /** What probes may cost, in the settings' price of one probe a request. Inherited. */
     private static final double MAX_COST_PER_REQUEST = 0.008;
 
-    /** Probes for each request at most. Own choice. */
+    /** Probes for each request at most. Inherited. */
     private static final double MAX_PROBES_PER_REQUEST = 8;
 
-    /** Least price of a probe, so that one without a price is no division by zero. */
+    /** Least price of a probe, so that a price of 0 is no division by zero. */
     private static final double MIN_PROBE_COST = 1e-9;
 
     /**
-     * Weight of a period in the rate at which probes are earned. Tuned: it spreads them over the time between requests,
+     * Weight of a period in the rate at which probes are earned. Inherited: it spreads them over the time between requests,
      * for those sent right after a request are out of date when a light sidecar's next one comes.
      */
     private static final double EARNED_WEIGHT = 0.02;
@@ -47,7 +47,7 @@
         tokens = Math.min(tokens + tokensPerPeriod, subset.length);
         for (int i = 0; i < subset.length && tokens >= 1; i++) {
             position = (position + 1) % subset.length;
-            if (worthProbing(nowMillis, subset[position])) {
+            if (probeUseful(nowMillis, subset[position])) {
                 actions.probe(subset[position].id());
                 tokens--;
             }
@@ -55,7 +55,7 @@
     }
 
     /** A busy endpoint that was probed of late is passed by anyway; the probe is of more use elsewhere. */
-    private boolean worthProbing(double nowMillis, EndpointState endpoint) {
+    private boolean probeUseful(double nowMillis, EndpointState endpoint) {
         return endpoint.reportedLoad().probeAgeMillis(nowMillis) > maxReportAgeMillis / 2
                 || endpoint.inFlightEstimate(nowMillis, maxReportAgeMillis) < 1;
     }
--- a/src/main/java/loadbalancer/policy/RequestState.java
+++ b/src/main/java/loadbalancer/policy/RequestState.java
@@ -128,8 +128,8 @@
     }
 
     /**
-     * How long an attempt that begins now may take, in milliseconds; 0 means up to the deadline. One whose late
-     * response would be worthless and whose execution the client must not repeat ends at the latency objective.
+     * How long an attempt that begins now may take, in milliseconds; 0 means up to the deadline. It ends at the latency
+     * objective if a late response has no value and the client must not repeat the request.
      */
     double attemptTimeoutMillis(double nowMillis) {
         boolean endsAtObjective = requestClass.lateWeight() <= 0 && !RetryRules.clientMayRetry(requestClass);
--- a/src/main/java/loadbalancer/policy/RetryRules.java
+++ b/src/main/java/loadbalancer/policy/RetryRules.java
@@ -3,12 +3,12 @@
 /**
  * What the idempotency of a request's class allows once an attempt may have been executed.
  *
- * <p>Both the policy and the guard in front of the first byte of each attempt ask here.
+ * <p>The policy follows them, and {@code proxy} checks them again before the first byte of each attempt.
  */
 public final class RetryRules {
     private RetryRules() {}
 
-    /** True if a client that is told to ask again does no harm, wherever its next request goes. */
+    /** True if a retry by the client does no harm, whichever endpoint gets it. */
     public static boolean clientMayRetry(RequestClass requestClass) {
         return switch (requestClass.idempotency()) {
             case IDEMPOTENT -> true;
@@ -20,7 +20,7 @@
     /**
      * True if a request may be sent again now, though an attempt that was sent at that time may have been executed.
      *
-     * @param attemptSentAt milliseconds on the clock of {@code now}
+     * @param attemptSentAt time in milliseconds on the clock of {@code now}
      */
     public static boolean mayRepeat(RequestClass requestClass, double attemptSentAt, double now) {
         return switch (requestClass.idempotency()) {
--- a/src/main/java/loadbalancer/policy/SubsetSelector.java
+++ b/src/main/java/loadbalancer/policy/SubsetSelector.java
@@ -9,20 +9,22 @@
  * one of them.
  */
 final class SubsetSelector {
-    /** The smallest subset. Tuned. */
+    /** The smallest subset. Inherited. */
     private static final int MIN_SIZE = 3;
 
-    /** Connections at an endpoint up to which all sidecars together may widen their subsets freely. Tuned. */
+    /** Connections at an endpoint up to which all sidecars together may widen their subsets freely. Inherited. */
     private static final double FREE_CONNECTIONS_PER_ENDPOINT = 12;
 
-    /** The size that is free in that case, and the size for each attempt in flight. Tuned. */
+    /** Size of the subset that needs no traffic while that holds. Inherited. */
     private static final double FREE_SIZE = 8;
 
+    /** Endpoints for each attempt in flight while that holds. Inherited. */
     private static final double FREE_SIZE_PER_IN_FLIGHT = 2;
 
-    /** Weight of a period in the averages by which the subset is sized, as they rise and as they fall. Tuned. */
+    /** Weight of a period in the averages by which the subset is sized, while they rise. Inherited. */
     private static final double RISE_WEIGHT = 0.2;
 
+    /** The same while they fall, so that the subset shrinks slowly. Inherited. */
     private static final double FALL_WEIGHT = 0.01;
 
     private static final EndpointState[] NO_ENDPOINTS = new EndpointState[0];
@@ -124,9 +126,9 @@
         for (EndpointState endpoint : ranked) {
             double capacity = endpoint.reportedLoad().capacityPerSecond();
             if (capacity > 0) {
-                endpoint.relativeSize(capacity / maxCapacity);
+                endpoint.setRelativeSize(capacity / maxCapacity);
             } else {
-                endpoint.relativeSize(maxWeight > 0 ? endpoint.entry().capacityWeight() / maxWeight : 1);
+                endpoint.setRelativeSize(maxWeight > 0 ? endpoint.entry().capacityWeight() / maxWeight : 1);
             }
         }
     }
