--- a/src/main/java/loadbalancer/policy/ClassErrorRates.java
+++ b/src/main/java/loadbalancer/policy/ClassErrorRates.java
@@ -7,7 +7,7 @@
  * traffic of its own class there and of no other.
  */
 final class ClassErrorRates {
-    /** Weight of an outcome. Inherited: a light sidecar meets a class at an endpoint once in many seconds. */
+    /** Weight of an outcome. Inherited; a light sidecar meets a class at an endpoint once in many seconds. */
     private static final double OUTCOME_WEIGHT = 0.5;
 
     /** Part of a rate that is kept from period to period. Inherited. */
--- a/src/main/java/loadbalancer/policy/ConcurrencyGuard.java
+++ b/src/main/java/loadbalancer/policy/ConcurrencyGuard.java
@@ -12,8 +12,8 @@
     private static final double MIN_HEALTHY_IN_FLIGHT = 1;
 
     /**
-     * Multiple of what the subset has in flight when healthy up to which nothing is dropped. Tuned: at 2 the
-     * endpoints became slow and stayed so, at 1.3 ordinary swings were cut.
+     * Multiple of what the subset has in flight when healthy up to which nothing is dropped. Tuned: at 2 the endpoints
+     * became slow and stayed so, at 1.3 ordinary swings were cut.
      */
     private static final double SUBSET_MULTIPLE = 1.6;
 
@@ -23,10 +23,7 @@
      */
     private static final double SUBSET_DEVIATIONS = 1.3;
 
-    /**
-     * Attempts that all sidecars together may have for each endpoint, whatever was answered. Tuned: 5 was
-     * worse.
-     */
+    /** Attempts that all sidecars together may have for each endpoint, whatever was answered. Tuned: 5 was worse. */
     private static final double MIN_IN_FLIGHT_PER_ENDPOINT = 3;
 
     private final double maxReportAgeMillis;
--- a/src/main/java/loadbalancer/policy/DropController.java
+++ b/src/main/java/loadbalancer/policy/DropController.java
@@ -4,7 +4,7 @@
  * The drop percentage of one endpoint: the part of the requests chosen for it that goes elsewhere or is rejected.
  *
  * <p>It is the traffic reduction of the "Loss" algorithm in C4-140439 (a change to 3GPP TR 29.807, 6.4.1.2), which is corrected
- * periodically from the reduction in use. There the overloaded node asks for it; endpoints here send none, so each
+ * periodically from the reduction in use. There the overloaded node requests it; endpoints here send none, so each
  * sidecar derives it from its own outcomes, by one step a control period.
  */
 final class DropController {
@@ -12,7 +12,7 @@
     private static final double MAX_REJECTED_FRACTION = 0.2;
 
     /**
-     * Part of the subset's outcomes not accepted beyond which they count for each endpoint. Inherited: faults of single
+     * Part of the subset's outcomes not accepted beyond which they count for each endpoint. Inherited; faults of single
      * endpoints stay theirs.
      */
     private static final double MAX_SUBSET_REJECTED_FRACTION = 0.25;
@@ -24,7 +24,7 @@
     private static final double FULL_INCREASE_EXCESS = 0.5;
 
     /**
-     * What a good or idle period takes off, as a part of what passes. Inherited: by fixed steps an overloaded endpoint
+     * What a good or idle period takes off, as a part of what passes. Inherited; by fixed steps an overloaded endpoint
      * would get far too much before the first outcome arrives.
      */
     private static final double DECREASE_PER_PERIOD = 0.08;
--- a/src/main/java/loadbalancer/policy/InFlightAttempts.java
+++ b/src/main/java/loadbalancer/policy/InFlightAttempts.java
@@ -12,7 +12,7 @@
     private static final int MAX_EXAMINED_ATTEMPTS = 64;
 
     /**
-     * An answer overtakes by far if it took less than this part of the older attempt's wait. Inherited: with less, long
+     * An answer overtakes by far if it took less than this part of the older attempt's wait. Inherited; with less, long
      * work on shared processors would pass for stalled, and the endpoints would be overdriven.
      */
     private static final double FAST_OVERTAKE_FRACTION = 0.3;
--- a/src/main/java/loadbalancer/policy/LatencyBaseline.java
+++ b/src/main/java/loadbalancer/policy/LatencyBaseline.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The usual latency of each class, which tells how late a response is, and how far the latencies of all responses
+ * The usual latency of each class, from which the lateness of a response follows, and how far the latencies of all responses
  * lately exceed the usual ones.
  *
  * <p>The usual latency is the lowest that the recent mean has been; it drifts upwards slowly, so that lasting changes
--- a/src/main/java/loadbalancer/policy/OutlierDetector.java
+++ b/src/main/java/loadbalancer/policy/OutlierDetector.java
@@ -13,9 +13,7 @@
     /** Least failure rate that is assumed of the subset. Own choice: two failures in a row are needed at least. */
     private static final double MIN_FAILURE_RATE = 0.1;
 
-    /**
-     * Failures while ejected that count, each of which halves the pace of recovery. Tuned: two were worse.
-     */
+    /** Failures while ejected that count, each of which halves the pace of recovery. Tuned: two were worse. */
     private static final int MAX_RECOVERY_HALVINGS = 1;
 
     private double failureLikelihood = 1;
--- a/src/main/java/loadbalancer/policy/PolicyActions.java
+++ b/src/main/java/loadbalancer/policy/PolicyActions.java
@@ -1,6 +1,8 @@
 package loadbalancer.policy;
 
-/** What a balancing policy can do; the embedder carries it out. Times are milliseconds, as in {@link BalancingPolicy}. */
+/**
+ * What a balancing policy can do; the embedder carries it out. Times are milliseconds, as in {@link BalancingPolicy}.
+ */
 public interface PolicyActions {
     /** Forwards the request to an endpoint as its next attempt; a timeout of 0 means at the request's deadline. */
     void forward(PolicyRequest request, String endpoint, double timeoutMillis);
--- a/src/main/java/loadbalancer/policy/PolicySettings.java
+++ b/src/main/java/loadbalancer/policy/PolicySettings.java
@@ -7,10 +7,10 @@
  *
  * @param classes the classes of requests, at least one
  * @param tenants the tenants, or none
+ * @param overQuotaWeight factor, from 0 to 1, on the priority weight of traffic over its tenant's quota
  * @param limits what the deployment allows
  * @param rules figures of the operators' rules
  * @param reporting how load reports arrive
- * @param overQuotaWeight factor, from 0 to 1, on the priority weight of traffic over its tenant's quota
  * @param endpointListPolled true if the policy has to open the watch on the endpoint list, false if lists are pushed
  * @param sidecarCount sidecars in the fleet
  * @param ordinal number of this sidecar, from 0
--- a/src/main/java/loadbalancer/policy/ProbeScheduler.java
+++ b/src/main/java/loadbalancer/policy/ProbeScheduler.java
@@ -8,12 +8,12 @@
     /** Probes for each request at most. Inherited. */
     private static final double MAX_PROBES_PER_REQUEST = 8;
 
-    /** Least price of a probe, so that a price of 0 is no division by zero. */
+    /** Least price of a probe, so that a price of 0 is no division by zero. Inherited. */
     private static final double MIN_PROBE_COST = 1e-9;
 
     /**
-     * Weight of a period in the rate at which probes are earned. Inherited: it spreads them over the time between requests,
-     * for those sent right after a request are out of date when a light sidecar's next one comes.
+     * Weight of a period in the rate at which probes are earned. Inherited; it spreads them over the time between
+     * requests, for those sent right after a request are out of date when a light sidecar's next one comes.
      */
     private static final double EARNED_WEIGHT = 0.02;
 
--- a/src/main/java/loadbalancer/policy/RequestState.java
+++ b/src/main/java/loadbalancer/policy/RequestState.java
@@ -114,7 +114,7 @@
                                 requestClass, possiblyExecuted.endpoint().entry(), endpoint.entry());
     }
 
-    /** True if the client may be told to come back: nothing was executed, or a repeat does no harm. */
+    /** True if a retry by the client does no harm: nothing was executed, or it may be repeated. */
     boolean clientMayRetry() {
         return possiblyExecuted == null || RetryRules.clientMayRetry(requestClass);
     }
--- a/src/main/java/loadbalancer/policy/SlowStartBudget.java
+++ b/src/main/java/loadbalancer/policy/SlowStartBudget.java
@@ -19,7 +19,7 @@
      */
     private static final double MAX_OVERLOAD_FRACTION = 0.375;
 
-    /** Tokens saved up at most. Inherited, so that the first choices of many sidecars do not arrive together. */
+    /** Tokens saved up at most. Inherited; more would let the first choices of many sidecars arrive together. */
     private static final double SLOW_START_MAX_TOKENS = 1.5;
 
     /** Weight of a period in the warm rate. Inherited. */
--- a/src/main/java/loadbalancer/policy/SubsetSelector.java
+++ b/src/main/java/loadbalancer/policy/SubsetSelector.java
@@ -12,13 +12,13 @@
     /** The smallest subset. Inherited. */
     private static final int MIN_SIZE = 3;
 
-    /** Connections at an endpoint up to which all sidecars together may widen their subsets freely. Inherited. */
+    /** Connections to an endpoint that all sidecars together may open beyond what healthy traffic needs. Inherited. */
     private static final double FREE_CONNECTIONS_PER_ENDPOINT = 12;
 
-    /** Size of the subset that needs no traffic while that holds. Inherited. */
+    /** Subset size without traffic, as far as those connections last. Inherited. */
     private static final double FREE_SIZE = 8;
 
-    /** Endpoints for each attempt in flight while that holds. Inherited. */
+    /** Endpoints for each attempt in flight, as far as those connections last. Inherited. */
     private static final double FREE_SIZE_PER_IN_FLIGHT = 2;
 
     /** Weight of a period in the averages by which the subset is sized, while they rise. Inherited. */
--- a/src/main/java/loadbalancer/policy/package-info.java
+++ b/src/main/java/loadbalancer/policy/package-info.java
@@ -2,7 +2,7 @@
  * Every balancing decision of a sidecar, as a pure function of settings, a seed and the events so far.
  *
  * <p>The embedder ({@code proxy}, or {@code simulator} for simulated time) calls {@link
- * loadbalancer.policy.BalancingPolicy} with each event and carries out what the policy asks for through {@link
+ * loadbalancer.policy.BalancingPolicy} with each event and carries out the policy's actions, given through {@link
  * loadbalancer.policy.PolicyActions}, all on one thread. The package reads no clock, starts no thread, does no I/O, and
  * depends on no other package.
  *
