--- a/src/main/java/loadbalancer/policy/DropController.java
+++ b/src/main/java/loadbalancer/policy/DropController.java
@@ -3,9 +3,9 @@
 /**
  * The drop percentage of one endpoint: the part of the requests chosen for it that goes elsewhere or is rejected.
  *
- * <p>It is the traffic reduction of the "Loss" algorithm in C4-140439 (a change to 3GPP TR 29.807, 6.4.1.2), which is corrected
- * periodically from the reduction in use. There the overloaded node requests it; endpoints here send none, so each
- * sidecar derives it from its own outcomes, by one step a control period.
+ * <p>It is the traffic reduction of the "Loss" algorithm in C4-140439 (a change to 3GPP TR 29.807, 6.4.1.2), which is
+ * corrected periodically from the reduction in use. There the overloaded node requests it; endpoints here send none, so
+ * each sidecar derives it from its own outcomes, by one step a control period.
  */
 final class DropController {
     /** Part of the outcomes not accepted that is tolerated. Inherited; chance gives this much just below overload. */
--- a/src/main/java/loadbalancer/policy/LatencyBaseline.java
+++ b/src/main/java/loadbalancer/policy/LatencyBaseline.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * The usual latency of each class, from which the lateness of a response follows, and how far the latencies of all responses
- * lately exceed the usual ones.
+ * The usual latency of each class, from which the lateness of a response follows, and how far the latencies of all
+ * responses lately exceed the usual ones.
  *
  * <p>The usual latency is the lowest that the recent mean has been; it drifts upwards slowly, so that lasting changes
  * are accepted in the end. Measured against the latency objective alone, a queue would be seen only when the responses
--- a/src/main/java/loadbalancer/policy/LossThrottlingPolicy.java
+++ b/src/main/java/loadbalancer/policy/LossThrottlingPolicy.java
@@ -32,8 +32,8 @@
     private static final double MIN_FIRST_PERIOD_FACTOR = 0.5;
 
     /**
-     * Time after the end of a period at which to wake, so that a rounded clock never shows it too early. Own choice: less
-     * than any clock resolves.
+     * Time after the end of a period at which to wake, so that a rounded clock never shows it too early. Own choice:
+     * less than any clock resolves.
      */
     private static final double WAKE_DELAY_MILLIS = 0.01;
 
--- a/src/main/java/loadbalancer/policy/OutcomeEvidence.java
+++ b/src/main/java/loadbalancer/policy/OutcomeEvidence.java
@@ -6,8 +6,8 @@
  */
 final class OutcomeEvidence {
     /**
-     * Outcomes of the whole subset that stand in for an endpoint's own. Inherited; one bad outcome is no trend, and with
-     * few outcomes what all endpoints show together is the only sign of an overload.
+     * Outcomes of the whole subset that stand in for an endpoint's own. Inherited; one bad outcome is no trend, and
+     * with few outcomes what all endpoints show together is the only sign of an overload.
      */
     static final double PRIOR_OUTCOMES = 2.0;
 
