--- a/src/test/java/loadbalancer/DocumentationTest.java
+++ b/src/test/java/loadbalancer/DocumentationTest.java
@@ -39,11 +39,17 @@
             Pattern.compile("(?m)^ +(?!(?:return|throw|new|else|case|yield|assert) )(?:<[\\w, ?]+> )?"
                     + "(?:[\\w.]+(?:<[^(){};=]*>)?(?:\\[])* )+(\\w+)\\(");
 
+    private static final Pattern CONSTANT_DECLARATION =
+            Pattern.compile("(?m)^ +(?:[a-z]+ )*static final [\\w.<>,\\[\\] ]+ ([A-Z][A-Z0-9_]*)\\b");
+
     /** What one source file declares. */
-    private record SourceFile(Set<String> types, Set<String> methods) {
+    private record SourceFile(Set<String> types, Set<String> methods, Set<String> constants) {
         private static SourceFile read(Path file) throws IOException {
             String source = Files.readString(file);
-            return new SourceFile(namesIn(source, TYPE_DECLARATION), namesIn(source, METHOD_DECLARATION));
+            return new SourceFile(
+                    namesIn(source, TYPE_DECLARATION),
+                    namesIn(source, METHOD_DECLARATION),
+                    namesIn(source, CONSTANT_DECLARATION));
         }
 
         private static Set<String> namesIn(String source, Pattern declaration) {
@@ -56,6 +62,9 @@
         }
 
         private boolean declares(List<String> name) {
+            if (name.size() == 1 && constants.contains(name.get(0))) {
+                return true;
+            }
             return types.contains(name.get(0))
                     && name.stream().skip(1).allMatch(part -> types.contains(part) || methods.contains(part));
         }
@@ -115,11 +124,13 @@
     @Test
     void recognizesStaleNames() {
         assertTrue(isStale("NoSuchClass"));
+        assertTrue(isStale("NO_SUCH_CONSTANT"));
         assertTrue(isStale("DocumentationTest.noSuchMethod"));
         assertTrue(isStale("DocumentationTest.NoSuchClass.read"));
         assertTrue(isStale("DocumentationTest.recognizes..."));
         assertTrue(isStale("DocumentationTest.assertTrue"));
         assertFalse(isStale("DocumentationTest"));
+        assertFalse(isStale("MAX_README_LINES"));
         assertFalse(isStale("DocumentationTest.recognizesStaleNames"));
         assertFalse(isStale("DocumentationTest.SourceFile.read"));
         assertFalse(isStale("Main.main()"));
--- a/src/test/java/loadbalancer/SourceRulesTest.java
+++ b/src/test/java/loadbalancer/SourceRulesTest.java
@@ -8,6 +8,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.regex.MatchResult;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
@@ -17,6 +20,8 @@
 /** What holds for every source file of the program. */
 class SourceRulesTest {
     private static final Path MAIN = Path.of("src/main/java");
+    private static final Path POLICY = MAIN.resolve("loadbalancer/policy");
+    private static final Pattern QUOTED = Pattern.compile("\"([^\"]+)\"");
     private static final int MAX_LINES = 400;
 
     private static final Pattern WALL_CLOCK =
@@ -35,6 +40,28 @@
         assertTrue(lines <= MAX_LINES, file + " has " + lines);
     }
 
+    // The bench keeps the text of the policy's files with each result; it takes files, not folders.
+    @Test
+    void deployFileListsEveryFileOfThePolicy() throws IOException {
+        String deployFile = Files.readString(Path.of("deploy/balancer.toml"));
+        String listed = deployFile
+                .lines()
+                .filter(line -> line.startsWith("policy = "))
+                .findFirst()
+                .orElseThrow();
+        Set<String> names = new TreeSet<>();
+        for (MatchResult name : QUOTED.matcher(listed).results().toList()) {
+            names.add(name.group(1));
+        }
+        Set<String> files = new TreeSet<>();
+        for (Path file : sources()) {
+            if (file.startsWith(POLICY) && !file.endsWith("package-info.java")) {
+                files.add(file.toString());
+            }
+        }
+        assertEquals(files, names);
+    }
+
     // Spans of time follow the monotonic clock, which no step moves.
     @Test
     void wallClockIsReadInOneClassOnly() throws IOException {
