--- a/src/main/java/loadbalancer/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/ClientConnection.java
@@ -30,7 +30,7 @@
 import loadbalancer.protocol.Decimals;
 import loadbalancer.protocol.ProtocolLimits;
 import loadbalancer.proxy.ClientRequest;
-import loadbalancer.proxy.RequestDispatcher;
+import loadbalancer.proxy.PendingRequest;
 import loadbalancer.proxy.ResponseListener;
 import loadbalancer.upstream.UpstreamResponse;
 
@@ -73,7 +73,7 @@
     private boolean first = true;
     private HttpRequest head;
     private ClientRequest checked;
-    private RequestDispatcher.PendingRequest pending;
+    private PendingRequest pending;
 
     ClientConnection(ClientServer server, Clock clock) {
         this.server = server;
@@ -178,7 +178,7 @@
     }
 
     private void abort() {
-        RequestDispatcher.PendingRequest gone = pending;
+        PendingRequest gone = pending;
         pending = null;
         if (gone != null) {
             gone.clientDisconnected();
@@ -272,7 +272,7 @@
             rejected(0);
             return;
         }
-        RequestDispatcher.PendingRequest taken = server.dispatcher().admit(request, body.toByteArray(), this);
+        PendingRequest taken = server.dispatcher().admit(request, body.toByteArray(), this);
         body.reset();
         // The answer may have gone out already.
         if (phase == Phase.OPEN) {
--- a/src/main/java/loadbalancer/proxy/ClientRequest.java
+++ b/src/main/java/loadbalancer/proxy/ClientRequest.java
@@ -10,8 +10,8 @@
  * @param classIndex position of its class in the settings
  * @param tenantIndex position of its tenant in the settings, or -1
  * @param timeoutMillis how long the client waits
- * @param clientRetry true if the client says that it asks again
- * @param headers what an endpoint is sent, except for the timeout and the length of the body
+ * @param clientRetry true if the client says that this is a retry
+ * @param headers what endpoints receive, except for the timeout and the length of the body
  */
 public record ClientRequest(
         String id,
