--- a/src/test/java/loadbalancer/proxy/LateConnectionTest.java
+++ b/src/test/java/loadbalancer/proxy/LateConnectionTest.java
@@ -13,80 +13,71 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A connection to an endpoint comes up after something else has happened: what may still be written on it. */
+/** A connection to an endpoint is established after something else has happened: what may still be written on it. */
 class LateConnectionTest {
-    private static final FakeServer.Script OK = (r, w) -> w.ok("done");
-
     @BeforeEach
-    void forget() {
+    void forgetConnects() {
         LateSocket.forget();
     }
 
-    private static TestSidecar node(String cancel, String... endpoints) throws Exception {
-        return new TestSidecar(
-                TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024, endpoints)
-                        .replace("\"cancel\":true", "\"cancel\":" + cancel),
-                LateSocket.class);
-    }
-
-    private static String born(String address, long at) {
-        return TestSidecar.host("s0", address, "ready").replace("\"born_ms\":0", "\"born_ms\":" + at);
+    private static ProxySetup create(boolean cancellation, FakeServer.Script... scripts) throws Exception {
+        return ProxySetup.withCancellation(cancellation, LateSocket.class, scripts);
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"true", "false"})
-    void aRequestWhoseClientLeftMeanwhileIsNotSent(String cancel) throws Exception {
-        try (FakeServer e = new FakeServer(OK);
-                TestSidecar n = node(cancel, e.address())) {
-            Runnable comesUp;
-            try (TestClient c = n.client()) {
-                c.send(TestClient.submit("50"));
-                comesUp = LateSocket.awaitConnect();
+    @ValueSource(booleans = {true, false})
+    void neverSendsRequestOfDisconnectedClient(boolean cancellation) throws Exception {
+        try (ProxySetup setup = create(cancellation, ProxySetup.OK)) {
+            TestSidecar sidecar = setup.sidecar();
+            Runnable connect;
+            try (TestClient leaving = sidecar.client()) {
+                leaving.send(TestClient.submit("50"));
+                connect = LateSocket.awaitConnect();
             }
-            n.await(() -> n.sidecar.pendingCount() == 0);
-            assertTheNextRequestIsTheFirst(e, n, comesUp);
+            sidecar.await(() -> sidecar.sidecar.pendingCount() == 0);
+            assertNextRequestIsFirstOnConnection(setup, connect);
         }
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"true", "false"})
-    void aRequestThatWasFailedAtTheEndOfADrainIsNotSent(String cancel) throws Exception {
-        try (FakeServer e = new FakeServer(OK);
-                TestSidecar n = node(cancel, e.address());
-                TestClient c = n.client()) {
-            c.send(TestClient.submit("50"));
-            Runnable comesUp = LateSocket.awaitConnect();
-            n.group.next().submit(n.sidecar::failPending).get();
-            assertEquals(502, c.read().status());
-            assertTheNextRequestIsTheFirst(e, n, comesUp);
+    @ValueSource(booleans = {true, false})
+    void neverSendsRequestFailedAtShutdown(boolean cancellation) throws Exception {
+        try (ProxySetup setup = create(cancellation, ProxySetup.OK)) {
+            setup.client().send(TestClient.submit("50"));
+            Runnable connect = LateSocket.awaitConnect();
+            setup.sidecar().call(() -> {
+                setup.sidecar().sidecar.failPending();
+                return null;
+            });
+            assertEquals(502, setup.client().read().status());
+            assertNextRequestIsFirstOnConnection(setup, connect);
         }
     }
 
     // The endpoint has paid for the connection: it is kept, and what was dropped did not go out on it.
-    private static void assertTheNextRequestIsTheFirst(FakeServer e, TestSidecar n, Runnable comesUp) throws Exception {
-        comesUp.run();
-        e.awaitConnection();
-        n.turn();
-        try (TestClient c = n.client()) {
-            assertEquals("done", c.ask(TestClient.status("5")).body());
+    private static void assertNextRequestIsFirstOnConnection(ProxySetup setup, Runnable connect) throws Exception {
+        FakeServer endpoint = setup.endpoint(0);
+        connect.run();
+        endpoint.awaitConnection();
+        setup.sidecar().turn();
+        try (TestClient next = setup.sidecar().client()) {
+            assertEquals("done", next.ask(TestClient.status("5")).body());
         }
-        assertEquals(1, e.requests.size());
-        assertEquals("status", e.requests.get(0).headers().get("request-class"));
-        assertEquals(1, e.connections());
+        assertEquals(1, endpoint.requests.size());
+        assertEquals("status", endpoint.requests.get(0).headers().get("request-class"));
+        assertEquals(1, endpoint.connections());
     }
 
     @Test
-    void aRequestWhoseTimeIsOverIsNotSentThoughTheLoopIsLate() throws Exception {
-        try (FakeServer e = new FakeServer(OK);
-                TestSidecar n = node("true", e.address());
-                TestClient c = n.client()) {
-            c.send(TestClient.submit("50"));
-            Runnable comesUp = LateSocket.awaitConnect();
-            // The timers have not run yet: only the look before the first byte can tell.
-            n.advance(50_000);
-            comesUp.run();
-            assertEquals(502, c.read().status());
-            assertEquals(List.of(), e.requests);
+    void neverSendsRequestAfterDeadlineOnLateLoop() throws Exception {
+        try (ProxySetup setup = create(true, ProxySetup.OK)) {
+            setup.client().send(TestClient.submit("50"));
+            Runnable connect = LateSocket.awaitConnect();
+            // The timers have not run yet: only the check before the first byte can tell.
+            setup.sidecar().advance(50_000);
+            connect.run();
+            assertEquals(502, setup.client().read().status());
+            assertEquals(List.of(), setup.requests());
         }
     }
 
@@ -100,44 +91,49 @@
         "moved, true",
         "gone and back, false"
     })
-    void nothingGoesToAnEndpointThatHasEndedMeanwhile(String what, boolean whole) throws Exception {
-        try (FakeServer old = new FakeServer(OK);
-                FakeServer next = new FakeServer(OK);
-                TestSidecar n = node("true", old.address());
-                TestClient c = n.client()) {
-            c.send(TestClient.submit("50"));
-            Runnable comesUp = LateSocket.awaitConnect();
-            switch (what) {
-                case "draining", "gone" -> n.tell(whole, TestSidecar.host("s0", old.address(), what));
-                case "moved" -> n.tell(whole, TestSidecar.host("s0", next.address(), "ready"));
-                case "reborn" -> n.tell(whole, born(old.address(), 1));
-                case "missing" -> n.tell(whole, TestSidecar.host("s1", next.address(), "ready"));
-                default -> {
-                    n.tell(whole, TestSidecar.host("s0", old.address(), "gone"));
-                    n.tell(whole, TestSidecar.host("s0", old.address(), "ready"));
-                }
+    void neverSendsToRemovedEndpoint(String change, boolean snapshot) throws Exception {
+        try (ProxySetup setup = create(true, ProxySetup.OK);
+                FakeServer next = new FakeServer(ProxySetup.OK)) {
+            FakeServer removed = setup.endpoint(0);
+            setup.client().send(TestClient.submit("50"));
+            Runnable connect = LateSocket.awaitConnect();
+            publish(change, snapshot, setup.sidecar(), removed.address(), next.address());
+            connect.run();
+            removed.awaitConnection();
+            removed.awaitEnd();
+            assertEquals(List.of(), removed.requests);
+        }
+    }
+
+    private static void publish(String change, boolean snapshot, TestSidecar sidecar, String removed, String next)
+            throws Exception {
+        switch (change) {
+            case "draining", "gone" -> sidecar.tell(snapshot, TestSidecar.host("s0", removed, change));
+            case "moved" -> sidecar.tell(snapshot, TestSidecar.host("s0", next, "ready"));
+            case "reborn" -> sidecar.tell(snapshot, startedAt(1, removed));
+            case "missing" -> sidecar.tell(snapshot, TestSidecar.host("s1", next, "ready"));
+            default -> {
+                sidecar.tell(snapshot, TestSidecar.host("s0", removed, "gone"));
+                sidecar.tell(snapshot, TestSidecar.host("s0", removed, "ready"));
             }
-            comesUp.run();
-            old.awaitConnection();
-            old.awaitEnd();
-            assertEquals(List.of(), old.requests);
         }
     }
 
+    private static String startedAt(long unixMillis, String address) {
+        return TestSidecar.host("s0", address, "ready").replace("\"born_ms\":0", "\"born_ms\":" + unixMillis);
+    }
+
     @Test
-    void aKeyedRepeatIsNotSentOnceNoEndpointWouldDiscardIt() throws Exception {
-        FakeServer.Script breaks = (r, w) -> w.reset();
-        try (FakeServer e = new FakeServer(breaks);
-                FakeServer f = new FakeServer(breaks);
-                TestSidecar n = node("true", e.address(), f.address());
-                TestClient c = n.client()) {
-            c.send(TestClient.pay("50"));
+    void neverRetriesWithKeyAfterDeduplicationWindow() throws Exception {
+        FakeServer.Script resets = (request, wire) -> wire.reset();
+        try (ProxySetup setup = create(true, resets, resets)) {
+            setup.client().send(TestClient.pay("50"));
             LateSocket.awaitConnect().run();
-            Runnable repeatComesUp = LateSocket.awaitConnect();
-            n.advance(5000);
-            repeatComesUp.run();
-            assertEquals(503, c.read().status());
-            assertEquals(1, e.requests.size() + f.requests.size());
+            Runnable connectOfRetry = LateSocket.awaitConnect();
+            setup.sidecar().advance(5000);
+            connectOfRetry.run();
+            assertEquals(503, setup.client().read().status());
+            assertEquals(1, setup.requests().size());
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/RecordedWireTest.java
+++ b/src/test/java/loadbalancer/proxy/RecordedWireTest.java
@@ -26,15 +26,14 @@
  * <p>Only the digits of {@code Request-Timeout} and {@code Retry-After} are left out, since they depend on time.
  */
 class RecordedWireTest {
-    private static final FakeServer.Script OK = (request, wire) -> wire.ok("done");
     private static final String EMPTY = "content-length: 0\r\n";
     private static final String CLOSED = EMPTY + "connection: close\r\n\r\n";
     private static final String STATUS = "GET /api?obj=k HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: 1\r\n"
             + "Request-Class: status\r\nRequest-Timeout: 5\r\n";
 
     /** Sends a request on a connection of its own and returns all that comes until a pause or the end. */
-    private static String exchange(TestSidecar node, String request, boolean closes) throws IOException {
-        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), node.port)) {
+    private static String exchange(TestSidecar sidecar, String request, boolean closes) throws IOException {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), sidecar.port)) {
             socket.setSoTimeout(FakeServer.PATIENCE_S * 1000);
             socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
             return closes ? withoutTimes(readAll(socket.getInputStream())) : withoutTimes(readMessage(socket));
@@ -70,49 +69,49 @@
     }
 
     @Test
-    void aServedRequestGetsStatusLengthTypeAndBody() throws Exception {
+    void servesStatusLengthTypeAndBody() throws Exception {
         FakeServer.Script typed = (request, wire) ->
                 wire.answer("200 OK", "Content-Type: audio/ogg\r\nServer-Load: util=0.5\r\nX-Other: 1\r\n", "done");
         try (FakeServer endpoint = new FakeServer(typed);
-                TestSidecar node = new TestSidecar(FakeServer.refusing(), endpoint.address())) {
+                TestSidecar sidecar = new TestSidecar(FakeServer.refusing(), endpoint.address())) {
             assertEquals(
                     "HTTP/1.1 200 OK\r\ncontent-length: 4\r\ncontent-type: audio/ogg\r\n\r\ndone",
-                    exchange(node, STATUS + "\r\n", false));
+                    exchange(sidecar, STATUS + "\r\n", false));
             assertEquals(
                     "HTTP/1.1 200 OK\r\ncontent-length: 4\r\ncontent-type: audio/ogg\r\nconnection: close\r\n\r\ndone",
-                    exchange(node, STATUS + "Connection: close\r\n\r\n", true));
+                    exchange(sidecar, STATUS + "Connection: close\r\n\r\n", true));
         }
     }
 
     @Test
-    void anEmptyAnswerWithoutATypeHasNone() throws Exception {
+    void servesEmptyResponseWithoutContentType() throws Exception {
         try (FakeServer endpoint = new FakeServer((request, wire) -> wire.ok(""));
-                TestSidecar node = new TestSidecar(FakeServer.refusing(), endpoint.address())) {
-            assertEquals("HTTP/1.1 200 OK\r\n" + EMPTY + "\r\n", exchange(node, STATUS + "\r\n", false));
+                TestSidecar sidecar = new TestSidecar(FakeServer.refusing(), endpoint.address())) {
+            assertEquals("HTTP/1.1 200 OK\r\n" + EMPTY + "\r\n", exchange(sidecar, STATUS + "\r\n", false));
         }
     }
 
     @Test
-    void aRejectedRequestGetsRetryAfterWhereSettingsAllowIt() throws Exception {
+    void rejectsWithRetryAfterIfSettingsAllowIt() throws Exception {
         String config = TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024);
         String without = config.replace("\"retry_after\":true", "\"retry_after\":false");
-        try (TestSidecar node = new TestSidecar(config, NioSocketChannel.class);
+        try (TestSidecar sidecar = new TestSidecar(config, NioSocketChannel.class);
                 TestSidecar quiet = new TestSidecar(without, NioSocketChannel.class)) {
             assertEquals(
                     "HTTP/1.1 503 Service Unavailable\r\n" + EMPTY + "retry-after: #\r\n\r\n",
-                    exchange(node, STATUS + "\r\n", false));
+                    exchange(sidecar, STATUS + "\r\n", false));
             assertEquals(
                     "HTTP/1.1 503 Service Unavailable\r\n" + EMPTY + "\r\n", exchange(quiet, STATUS + "\r\n", false));
         }
     }
 
     @Test
-    void aFailedRequestGets502() throws Exception {
+    void failsWith502() throws Exception {
         String submit = "POST /api HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\nRequest-Class: submit\r\n"
                 + "Content-Length: 3\r\n\r\nabc";
         try (FakeServer endpoint = new FakeServer((request, wire) -> wire.reset());
-                TestSidecar node = new TestSidecar(FakeServer.refusing(), endpoint.address())) {
-            assertEquals("HTTP/1.1 502 Bad Gateway\r\n" + EMPTY + "\r\n", exchange(node, submit, false));
+                TestSidecar sidecar = new TestSidecar(FakeServer.refusing(), endpoint.address())) {
+            assertEquals("HTTP/1.1 502 Bad Gateway\r\n" + EMPTY + "\r\n", exchange(sidecar, submit, false));
         }
     }
 
@@ -127,34 +126,34 @@
                 "GET /api HTTP/1.1~Request-Id: 1~ | 408 Request Timeout",
                 "POST /api HTTP/1.1~Content-Length: 65537~~ | 413 Request Entity Too Large"
             })
-    void aBadRequestGetsItsStatusAndAClose(String request, String status) throws Exception {
-        try (TestSidecar node = new TestSidecar(FakeServer.refusing())) {
-            assertEquals("HTTP/1.1 " + status + "\r\n" + CLOSED, exchange(node, request.replace("~", "\r\n"), true));
+    void refusesInvalidRequestAndCloses(String request, String status) throws Exception {
+        try (TestSidecar sidecar = new TestSidecar(FakeServer.refusing())) {
+            assertEquals("HTTP/1.1 " + status + "\r\n" + CLOSED, exchange(sidecar, request.replace("~", "\r\n"), true));
         }
     }
 
     @Test
-    void readinessIs200AndIs503DuringShutdown() throws Exception {
+    void reportsReadinessUntilShutdown() throws Exception {
         String ready = "GET /health/ready HTTP/1.1\r\n\r\n";
-        try (TestSidecar node = new TestSidecar(FakeServer.refusing())) {
-            assertEquals("HTTP/1.1 200 OK\r\n" + EMPTY + "\r\n", exchange(node, ready, false));
-            node.call(() -> {
-                node.server.shutDown(() -> {});
+        try (TestSidecar sidecar = new TestSidecar(FakeServer.refusing())) {
+            assertEquals("HTTP/1.1 200 OK\r\n" + EMPTY + "\r\n", exchange(sidecar, ready, false));
+            sidecar.call(() -> {
+                sidecar.server.shutDown(() -> {});
                 return null;
             });
-            assertEquals("HTTP/1.1 503 Service Unavailable\r\n" + EMPTY + "\r\n", exchange(node, ready, false));
+            assertEquals("HTTP/1.1 503 Service Unavailable\r\n" + EMPTY + "\r\n", exchange(sidecar, ready, false));
         }
     }
 
     @Test
-    void anExpectationOfContinueIsConfirmedAndAnotherIgnored() throws Exception {
+    void confirmsExpectContinueAndIgnoresOtherExpectations() throws Exception {
         String submit = "POST /api HTTP/1.1\r\nHost: a\r\nRequest-Id: 1\r\nRequest-Class: submit\r\n"
                 + "Content-Length: 3\r\nExpect: ";
-        try (TestSidecar node = new TestSidecar(FakeServer.refusing())) {
-            assertEquals("HTTP/1.1 100 Continue\r\n\r\n", exchange(node, submit + "100-continue\r\n\r\n", false));
+        try (TestSidecar sidecar = new TestSidecar(FakeServer.refusing())) {
+            assertEquals("HTTP/1.1 100 Continue\r\n\r\n", exchange(sidecar, submit + "100-continue\r\n\r\n", false));
             assertEquals(
                     "HTTP/1.1 503 Service Unavailable\r\n" + EMPTY + "retry-after: #\r\n\r\n",
-                    exchange(node, submit + "other\r\n\r\nabc", false));
+                    exchange(sidecar, submit + "other\r\n\r\nabc", false));
         }
     }
 
@@ -176,9 +175,9 @@
                         + "| POST /api HTTP/1.1~host: a~Request-Id: 4~Request-Class: submit~Request-Timeout: #~"
                         + "content-length: 0~~"
             })
-    void anEndpointGetsTheCheckedFieldsOnly(String request, String forwarded) throws Exception {
+    void forwardsValidatedFieldsOnly(String request, String forwarded) throws Exception {
         try (ServerSocket endpoint = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                TestSidecar node = new TestSidecar(FakeServer.refusing(), "127.0.0.1:" + endpoint.getLocalPort())) {
+                TestSidecar sidecar = new TestSidecar(FakeServer.refusing(), "127.0.0.1:" + endpoint.getLocalPort())) {
             CompletableFuture<String> received = CompletableFuture.supplyAsync(() -> {
                 try (Socket socket = endpoint.accept()) {
                     String message = readMessage(socket);
@@ -188,14 +187,14 @@
                     throw new UncheckedIOException(e);
                 }
             });
-            exchange(node, request.replace("~", "\r\n"), false);
+            exchange(sidecar, request.replace("~", "\r\n"), false);
             String message = received.get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
             assertEquals(forwarded.replace("~", "\r\n"), withoutTimes(message));
         }
     }
 
     @Test
-    void discoveryIsAskedFromTheKnownVersionOrForAll() throws Exception {
+    void watchesFromKnownVersionOrForSnapshot() throws Exception {
         try (ServerSocket discovery = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             discovery.setSoTimeout(FakeServer.PATIENCE_S * 1000);
             String address = "127.0.0.1:" + discovery.getLocalPort();
@@ -203,7 +202,7 @@
             String unknown = known.replace("\"known\"", "\"other\"");
             String host = " HTTP/1.1\r\nhost: " + address + "\r\n\r\n";
             for (String config : new String[] {known, unknown}) {
-                try (TestSidecar node = new TestSidecar(config, NioSocketChannel.class);
+                try (TestSidecar sidecar = new TestSidecar(config, NioSocketChannel.class);
                         Socket watch = discovery.accept()) {
                     String query = config.equals(known) ? "?watch=1&after=41" : "?watch=1";
                     assertEquals("GET /registry/instances" + query + host, readMessage(watch));
