--- a/src/main/java/loadbalancer/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/downstream/ClientConnection.java
@@ -1,123 +1,69 @@
 package loadbalancer.downstream;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelPipeline;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.DuplexChannel;
-import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpServerExpectContinueHandler;
 import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.eventloop.Clock;
-import loadbalancer.protocol.Decimals;
-import loadbalancer.protocol.ProtocolLimits;
 import loadbalancer.proxy.ClientRequest;
 import loadbalancer.proxy.RequestDispatcher;
 import loadbalancer.proxy.ResponseListener;
 import loadbalancer.upstream.UpstreamResponse;
 
 /**
- * One connection from the application and the one request that it may carry at a time. A bad request is
- * answered as soon as its head shows that, and ends the connection: nobody knows where the next one would
- * begin.
+ * One connection from the application and the one request that it may carry at a time. An invalid request is
+ * answered as soon as its head shows that, and closes the connection, since it is not known where the next request
+ * would begin.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> implements ResponseListener {
-    /** What the connection is about; {@link #since} tells for how long. */
-    enum Phase {
-        /** It has sent nothing yet. */
-        SILENT,
-        /** It has had an answer and has sent nothing since. */
-        IDLE,
-        /** A request has begun to come. */
-        RECEIVING,
-        /** A request has come whole; whether anything follows it is not known before the end of the turn. */
-        RECEIVED,
-        /** The sidecar holds its request. */
-        OPEN,
-        /** An answer is being written. */
-        ANSWERING,
-        /** A last answer is being written, or has been; what comes is no longer read. */
-        ENDING
-    }
-
-    private static final String READY_PATH = "/health/ready";
-    private static final double MILLIS = 1000;
-    /** How long a client that still sends is given to read its last answer before the connection is reset. */
-    private static final long LINGER_MS = 300;
+    /** Time for a client that still sends to read its last response before the connection is reset. */
+    private static final long LINGER_MILLIS = 300;
 
-    private final ClientServer server;
-    private final Clock clock;
-    private final Decoder decoder = new Decoder();
-    private final ByteArrayOutputStream body = new ByteArrayOutputStream();
+    private final ServerContext server;
+    private final ConnectionStateMachine machine;
+    private final ClientRequestDecoder decoder = new ClientRequestDecoder();
+    private final IncomingRequest request = new IncomingRequest();
     private Channel channel;
-    private Phase phase = Phase.SILENT;
-    private double since;
-    private boolean first = true;
-    private HttpRequest head;
-    private ClientRequest checked;
     private RequestDispatcher.PendingRequest pending;
 
-    ClientConnection(ClientServer server, Clock clock) {
+    /** A connection of this server, not yet in a pipeline. */
+    ClientConnection(ServerContext server, Clock clock) {
         this.server = server;
-        this.clock = clock;
-    }
-
-    /** Guards against request smuggling: Netty by itself drops the length and believes the chunks. */
-    private static final class Decoder extends HttpRequestDecoder {
-        @Override
-        protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
-        }
-
-        private int heads;
-
-        @Override
-        protected HttpMessage createMessage(String[] initialLine) throws Exception {
-            heads++;
-            return super.createMessage(initialLine);
-        }
-
-        // True if something follows the request: a second head that has begun, or bytes that are none.
-        private boolean holdsMore() {
-            return heads > 1 || actualReadableBytes() > 0;
-        }
+        this.machine = new ConnectionStateMachine(clock);
     }
 
     /** Sees bytes before they are decoded, also those that never make a request. */
-    private final class Bytes extends ChannelInboundHandlerAdapter {
+    private final class InboundBytesHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            if (phase == Phase.SILENT || phase == Phase.IDLE) {
-                enter(Phase.RECEIVING);
+            if (!state().isBusy()) {
+                machine.enter(ConnectionState.READING_REQUEST);
             }
-            if (phase == Phase.RECEIVING || phase == Phase.RECEIVED) {
+            if (isReading()) {
                 ctx.fireChannelRead(message);
                 return;
             }
             ((ByteBuf) message).release();
-            // One request at a time: what comes before its answer makes it unclear what is asked.
-            if (phase == Phase.OPEN) {
+            // One request at a time: bytes received before its response leave it unclear what the client wants.
+            if (state() == ConnectionState.AWAITING_RESPONSE) {
                 reject(HttpResponseStatus.BAD_REQUEST);
-            } else if (phase == Phase.ANSWERING) {
-                // The answer still goes out whole; behind it the connection ends.
+            } else if (state() == ConnectionState.WRITING_RESPONSE) {
+                // The response is still written completely; then the connection is closed.
                 stopReading();
             }
         }
@@ -125,64 +71,47 @@
 
     /** Sets up the pipeline of a connection just accepted. */
     void addTo(ChannelPipeline pipeline) {
-        pipeline.addLast(new Bytes(), decoder, new HttpResponseEncoder(), new HttpServerExpectContinueHandler(), this);
-    }
-
-    Phase phase() {
-        return phase;
+        pipeline.addLast(
+                new InboundBytesHandler(),
+                decoder,
+                new HttpResponseEncoder(),
+                new HttpServerExpectContinueHandler(),
+                this);
     }
 
-    /**
-     * When it came into its phase; a first request is to come whole within a time that begins with the
-     * connection.
-     */
-    double since() {
-        return since;
+    ConnectionState state() {
+        return machine.state();
     }
 
-    /** True while a drain must wait for it. */
-    boolean busy() {
-        return phase != Phase.SILENT && phase != Phase.IDLE;
+    /** The time from which the timeout of its state counts, in milliseconds of the clock. */
+    double sinceMillis() {
+        return machine.sinceMillis();
     }
 
-    /**
-     * Ends it at once, also for whoever looks for the next one to end: its channel tells so only in a later
-     * turn.
-     */
+    /** Closes it at once. It is reported as closed at once too, since the channel does so only in a later turn. */
     void close() {
-        enter(Phase.ENDING);
+        machine.enter(ConnectionState.CLOSING);
         channel.close();
-        server.closed(this);
+        server.connectionClosed(this);
     }
 
-    private void enter(Phase next) {
-        // Guards against a client that says nothing for a while and then little: both together are bounded.
-        if (next != Phase.RECEIVING || !first) {
-            since = clock.now();
-        }
-        phase = next;
+    /** Answers that no complete request was received in time. */
+    void requestTimedOut() {
+        reject(HttpResponseStatus.REQUEST_TIMEOUT);
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        since = clock.now();
-        server.opened(this);
+        machine.start();
+        server.connectionOpened(this);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        enter(Phase.ENDING);
-        abort();
-        server.closed(this);
-    }
-
-    private void abort() {
-        RequestDispatcher.PendingRequest gone = pending;
-        pending = null;
-        if (gone != null) {
-            gone.clientDisconnected();
-        }
+        machine.enter(ConnectionState.CLOSING);
+        abandonPendingRequest();
+        server.connectionClosed(this);
     }
 
     @Override
@@ -192,180 +121,160 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) throws IOException {
-        if (phase != Phase.RECEIVING && phase != Phase.RECEIVED) {
+        if (!isReading()) {
             return;
         }
-        if (phase == Phase.RECEIVED || message.decoderResult().isFailure()) {
+        if (state() == ConnectionState.REQUEST_COMPLETE
+                || message.decoderResult().isFailure()) {
             reject(HttpResponseStatus.BAD_REQUEST);
             return;
         }
-        if (message instanceof HttpRequest request) {
-            try {
-                check(request);
-            } catch (RequestValidator.Rejected e) {
-                reject(e.status());
-                return;
-            }
+        try {
+            read(message);
+        } catch (RejectedRequestException e) {
+            reject(e.status());
+        }
+    }
+
+    private void read(HttpObject message) throws RejectedRequestException, IOException {
+        if (message instanceof HttpRequest head) {
+            request.begin(head, server.validator());
         }
         if (message instanceof HttpContent part) {
-            ByteBuf bytes = part.content();
-            if (body.size() + bytes.readableBytes() > ProtocolLimits.MAX_BODY_BYTES) {
-                reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
-                return;
-            }
-            bytes.readBytes(body, bytes.readableBytes());
+            request.append(part.content());
             if (part instanceof LastHttpContent) {
-                enter(Phase.RECEIVED);
+                machine.enter(ConnectionState.REQUEST_COMPLETE);
             }
         }
     }
 
-    private void check(HttpRequest request) throws RequestValidator.Rejected {
-        head = request;
-        RequestValidator.framing(request);
-        checked = RequestValidator.path(request).equals(READY_PATH)
-                ? null
-                : server.check().application(request);
+    private boolean isReading() {
+        return state() == ConnectionState.READING_REQUEST || state() == ConnectionState.REQUEST_COMPLETE;
     }
 
-    // Only when all that came in one pass has been looked at is it clear that nothing follows the request.
-    // The end of the connection is found behind this: of a client that has gone by now nothing is sent on.
+    // Whether more follows the request is known only once all bytes of this pass have been decoded. The end of the
+    // connection is found after this: a request of a client that has left by then is not forwarded.
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (phase == Phase.RECEIVED) {
-            ctx.executor().execute(this::requested);
+        if (state() == ConnectionState.REQUEST_COMPLETE) {
+            ctx.executor().execute(this::handleRequest);
         }
     }
 
-    private void requested() {
-        if (phase != Phase.RECEIVED || !channel.isActive()) {
+    private void handleRequest() {
+        if (state() != ConnectionState.REQUEST_COMPLETE || !channel.isActive()) {
             return;
         }
-        if (decoder.holdsMore()) {
+        if (decoder.hasMoreThanOneRequest()) {
             reject(HttpResponseStatus.BAD_REQUEST);
-        } else if (checked == null) {
-            health();
+        } else if (request.isReadinessCheck()) {
+            answerReadinessCheck();
         } else {
-            take();
+            dispatch(request.clientRequest());
         }
     }
 
-    private void health() {
-        if (!head.method().equals(HttpMethod.GET)) {
+    private void answerReadinessCheck() {
+        if (!request.method().equals(HttpMethod.GET)) {
             reject(HttpResponseStatus.METHOD_NOT_ALLOWED);
         } else {
-            write(response(server.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE));
+            respond(ClientResponses.withStatus(
+                    server.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE));
         }
     }
 
-    private void take() {
-        ClientRequest request = checked;
-        // Guards against running what another client has asked for twice: an id that is held is not new, also
-        // while an attempt is out for a client that has left.
-        if (server.dispatcher().isInFlight(request.id())) {
+    private void dispatch(ClientRequest clientRequest) {
+        // The same id may not run twice: not while it is in flight, nor while an attempt of a client that has left is.
+        if (server.dispatcher().isInFlight(clientRequest.id())) {
             reject(HttpResponseStatus.BAD_REQUEST);
             return;
         }
-        enter(Phase.OPEN);
-        // Guards against a request that comes whole only now: nothing would fail it before the kill.
-        if (server.expired()) {
+        machine.enter(ConnectionState.AWAITING_RESPONSE);
+        // A request that is complete only now would not be failed any more before the process is killed.
+        if (server.isPastShutdownDeadline()) {
             rejected(0);
             return;
         }
-        RequestDispatcher.PendingRequest taken = server.dispatcher().admit(request, body.toByteArray(), this);
-        body.reset();
-        // The answer may have gone out already.
-        if (phase == Phase.OPEN) {
-            pending = taken;
+        RequestDispatcher.PendingRequest admitted = server.dispatcher().admit(clientRequest, request.body(), this);
+        request.clearBody();
+        // The response may have been written already.
+        if (state() == ConnectionState.AWAITING_RESPONSE) {
+            pending = admitted;
         }
     }
 
-    @Override
-    public void succeeded(UpstreamResponse answer) {
-        FullHttpResponse response = response(HttpResponseStatus.OK, answer.body());
-        if (answer.contentType() != null) {
-            response.headers().set(HttpHeaderNames.CONTENT_TYPE, answer.contentType());
+    private void abandonPendingRequest() {
+        RequestDispatcher.PendingRequest abandoned = pending;
+        pending = null;
+        if (abandoned != null) {
+            abandoned.clientDisconnected();
         }
-        write(response);
     }
 
     @Override
-    public void rejected(double retryAfter) {
-        FullHttpResponse response = response(HttpResponseStatus.SERVICE_UNAVAILABLE);
-        if (retryAfter > 0) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, Decimals.formatThousandths(retryAfter / MILLIS));
-        }
-        write(response);
+    public void succeeded(UpstreamResponse response) {
+        respond(ClientResponses.success(response));
     }
 
     @Override
-    public void failed() {
-        write(response(HttpResponseStatus.BAD_GATEWAY));
+    public void rejected(double retryAfterMillis) {
+        respond(ClientResponses.rejection(retryAfterMillis));
     }
 
-    /** Answers that no whole request came in time. */
-    void tooSlow() {
-        reject(HttpResponseStatus.REQUEST_TIMEOUT);
+    @Override
+    public void failed() {
+        respond(ClientResponses.withStatus(HttpResponseStatus.BAD_GATEWAY));
     }
 
     private void reject(HttpResponseStatus status) {
-        // Before it is given up: what that ends must find no answer due here.
-        enter(Phase.ENDING);
-        abort();
-        end(response(status));
-    }
-
-    private static FullHttpResponse response(HttpResponseStatus status) {
-        return response(status, new byte[0]);
+        // Before the pending request is abandoned: whatever that causes must not answer here.
+        machine.enter(ConnectionState.CLOSING);
+        abandonPendingRequest();
+        respondAndClose(ClientResponses.withStatus(status));
     }
 
-    private static FullHttpResponse response(HttpResponseStatus status, byte[] body) {
-        FullHttpResponse response =
-                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
-        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-        return response;
-    }
-
-    private void write(FullHttpResponse response) {
+    private void respond(FullHttpResponse response) {
         pending = null;
-        if (!HttpUtil.isKeepAlive(head) || server.shuttingDown()) {
-            end(response);
+        if (!request.isKeepAlive() || server.isShuttingDown()) {
+            respondAndClose(response);
             return;
         }
-        enter(Phase.ANSWERING);
-        channel.writeAndFlush(response).addListener(f -> {
-            if (phase == Phase.ANSWERING) {
-                first = false;
-                head = null;
-                checked = null;
-                decoder.heads = 0;
-                enter(Phase.IDLE);
-                if (server.shuttingDown()) {
-                    close();
-                }
+        machine.enter(ConnectionState.WRITING_RESPONSE);
+        channel.writeAndFlush(response).addListener(written -> {
+            if (state() == ConnectionState.WRITING_RESPONSE) {
+                awaitNextRequest();
             } else {
-                endOutput(f.isSuccess());
+                closeOutput(written.isSuccess());
             }
         });
     }
 
-    private void end(FullHttpResponse response) {
+    private void awaitNextRequest() {
+        request.clearHead();
+        decoder.requestAnswered();
+        machine.enter(ConnectionState.IDLE);
+        if (server.isShuttingDown()) {
+            close();
+        }
+    }
+
+    private void respondAndClose(FullHttpResponse response) {
         HttpUtil.setKeepAlive(response, false);
         stopReading();
-        channel.writeAndFlush(response).addListener(f -> endOutput(f.isSuccess()));
+        channel.writeAndFlush(response).addListener(written -> closeOutput(written.isSuccess()));
     }
 
-    // Guards against reading on a huge body, against taking a request that nobody would answer, and against the reset
-    // that would take away the answer: what still comes stays unread until the client has had time to read it.
+    // A huge body is not read on, and no request is read that nobody would answer. What the client still sends stays
+    // unread until it has had time to read the response, which a reset of the connection would take away.
     private void stopReading() {
-        enter(Phase.ENDING);
+        machine.enter(ConnectionState.CLOSING);
         channel.config().setAutoRead(false);
     }
 
-    private void endOutput(boolean written) {
-        if (written && channel instanceof DuplexChannel duplex) {
+    private void closeOutput(boolean responseWritten) {
+        if (responseWritten && channel instanceof DuplexChannel duplex) {
             duplex.shutdownOutput();
-            channel.eventLoop().schedule(this::close, LINGER_MS, TimeUnit.MILLISECONDS);
+            channel.eventLoop().schedule(this::close, LINGER_MILLIS, TimeUnit.MILLISECONDS);
         } else {
             channel.close();
         }
--- a/src/main/java/loadbalancer/downstream/RequestValidator.java
+++ b/src/main/java/loadbalancer/downstream/RequestValidator.java
@@ -8,6 +8,7 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -20,27 +21,12 @@
 import loadbalancer.proxy.ClientRequest;
 
 /**
- * Checks the head of a client's request, before its body is read. What it lets through is made anew from the
- * checked fields alone, so that nothing else of a client's reaches the module or an endpoint.
+ * Validates the head of a client's request, before its body is read. What is forwarded is made anew from the
+ * validated fields alone, so that nothing else of a client's reaches the policy or an endpoint.
  */
 final class RequestValidator {
-    /** The answer that a bad request gets. */
-    static final class Rejected extends Exception {
-        private static final long serialVersionUID = 1;
-        private final transient HttpResponseStatus status;
-
-        private Rejected(HttpResponseStatus status) {
-            super(status.toString(), null, false, false);
-            this.status = status;
-        }
-
-        HttpResponseStatus status() {
-            return status;
-        }
-    }
-
     private static final String API_PATH = "/api";
-    private static final List<CharSequence> ONCE = List.of(
+    private static final List<CharSequence> SINGLE_VALUED_HEADERS = List.of(
             HeaderNames.REQUEST_ID,
             HeaderNames.REQUEST_CLASS,
             HeaderNames.REQUEST_TIMEOUT,
@@ -51,25 +37,26 @@
             HttpHeaderNames.CONTENT_LENGTH,
             HttpHeaderNames.TRANSFER_ENCODING,
             HttpHeaderNames.CONTENT_TYPE);
-    /** Longer names than any client has; they are kept and passed on. */
-    private static final int MAX_NAME_LENGTH = 256;
-    /** An hour: no client waits longer, and timers far out would only pile up. */
-    private static final double MAX_TIMEOUT_S = 3600;
+    /** Ids and keys of clients are shorter; they are stored and forwarded. */
+    private static final int MAX_IDENTIFIER_LENGTH = 256;
+    /** An hour: no client waits longer, and timers far in the future would only accumulate. */
+    private static final double MAX_TIMEOUT_SECONDS = 3600;
 
-    private static final double MILLIS = 1000;
+    private static final double MILLIS_PER_SECOND = 1000;
+    private static final int UNKNOWN_TENANT = -1;
 
     private final List<RequestClass> classes;
-    private final Map<String, Integer> classIndex = new HashMap<>();
-    private final Map<String, Integer> tenantIndex = new HashMap<>();
+    private final Map<String, Integer> classIndexes = new HashMap<>();
+    private final Map<String, Integer> tenantIndexes = new HashMap<>();
 
-    /** A check by the classes and tenants of these settings. */
+    /** A validator by the classes and tenants of these settings. */
     RequestValidator(PolicySettings settings) {
         this.classes = settings.classes();
         for (int i = 0; i < classes.size(); i++) {
-            classIndex.put(classes.get(i).name(), i);
+            classIndexes.put(classes.get(i).name(), i);
         }
         for (int i = 0; i < settings.tenants().size(); i++) {
-            tenantIndex.put(settings.tenants().get(i).name(), i);
+            tenantIndexes.put(settings.tenants().get(i).name(), i);
         }
     }
 
@@ -80,78 +67,115 @@
     }
 
     /**
-     * Guards against a request whose end another reader could see elsewhere, hiding a second one in its
-     * body.
+     * Checks that every reader finds the end of the request in the same place. A second request could otherwise be
+     * smuggled in its body.
      */
-    static void framing(HttpRequest request) throws Rejected {
+    static void validateFraming(HttpRequest request) throws RejectedRequestException {
         HttpHeaders headers = request.headers();
-        for (CharSequence name : ONCE) {
+        for (CharSequence name : SINGLE_VALUED_HEADERS) {
             require(headers.getAll(name).size() <= 1);
         }
+        HttpVersion version = request.protocolVersion();
         String encoding = headers.get(HttpHeaderNames.TRANSFER_ENCODING);
         require(encoding == null
-                || HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encoding)
-                        && request.protocolVersion().minorVersion() > 0);
-        require(request.protocolVersion().majorVersion() == 1 && visible(request.uri(), Integer.MAX_VALUE));
+                || HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encoding) && version.minorVersion() > 0);
+        require(version.majorVersion() == 1 && isVisibleAscii(request.uri(), Integer.MAX_VALUE));
         if (HttpUtil.getContentLength(request, 0L) > ProtocolLimits.MAX_BODY_BYTES) {
-            throw new Rejected(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
+            throw new RejectedRequestException(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
         }
     }
 
-    /** The request, if its path is the application's and all that it says of itself is right. */
-    ClientRequest application(HttpRequest request) throws Rejected {
+    /** The request, if its path is the application's and its headers are valid. */
+    ClientRequest validate(HttpRequest request) throws RejectedRequestException {
         if (!path(request).equals(API_PATH)) {
-            throw new Rejected(HttpResponseStatus.NOT_FOUND);
+            throw new RejectedRequestException(HttpResponseStatus.NOT_FOUND);
         }
         HttpHeaders headers = request.headers();
-        String id = headers.get(HeaderNames.REQUEST_ID, "");
-        Integer k = classIndex.get(headers.get(HeaderNames.REQUEST_CLASS, ""));
-        require(k != null && visible(id, MAX_NAME_LENGTH));
-        RequestClass type = classes.get(k);
-        HttpMethod method = type.idempotency() == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
-        if (!request.method().equals(method)) {
-            throw new Rejected(HttpResponseStatus.METHOD_NOT_ALLOWED);
-        }
-        String key = headers.get(HeaderNames.IDEMPOTENCY_KEY);
-        require(key == null ? type.idempotency() != Idempotency.WITH_KEY : visible(key, MAX_NAME_LENGTH));
-        String timeout = headers.get(HeaderNames.REQUEST_TIMEOUT);
-        double wait = timeout == null ? type.deadlineMillis() : Decimals.parse(timeout, MAX_TIMEOUT_S) * MILLIS;
-        require(wait > 0);
+        int classIndex = classIndex(headers);
+        RequestClass requestClass = classes.get(classIndex);
+        String id = requestId(headers);
+        HttpMethod method = method(request, requestClass);
+        String idempotencyKey = idempotencyKey(headers, requestClass);
         return new ClientRequest(
                 id,
-                k,
-                tenantIndex.getOrDefault(headers.get(HeaderNames.TENANT, ""), -1),
-                wait,
+                classIndex,
+                tenantIndexes.getOrDefault(headers.get(HeaderNames.TENANT, ""), UNKNOWN_TENANT),
+                timeoutMillis(headers, requestClass),
                 "1".equals(headers.get(HeaderNames.CLIENT_RETRY)),
                 method,
                 request.uri(),
-                onward(headers, id, key));
+                forwardedHeaders(headers, id, idempotencyKey));
+    }
+
+    private int classIndex(HttpHeaders headers) throws RejectedRequestException {
+        Integer index = classIndexes.get(headers.get(HeaderNames.REQUEST_CLASS, ""));
+        if (index == null) {
+            throw new RejectedRequestException(HttpResponseStatus.BAD_REQUEST);
+        }
+        return index;
+    }
+
+    private static String requestId(HttpHeaders headers) throws RejectedRequestException {
+        String id = headers.get(HeaderNames.REQUEST_ID, "");
+        require(isVisibleAscii(id, MAX_IDENTIFIER_LENGTH));
+        return id;
+    }
+
+    private static HttpMethod method(HttpRequest request, RequestClass requestClass) throws RejectedRequestException {
+        HttpMethod expected = requestClass.idempotency() == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST;
+        if (!request.method().equals(expected)) {
+            throw new RejectedRequestException(HttpResponseStatus.METHOD_NOT_ALLOWED);
+        }
+        return expected;
+    }
+
+    /** The idempotency key, or null if there is none and the class needs none. */
+    private static String idempotencyKey(HttpHeaders headers, RequestClass requestClass)
+            throws RejectedRequestException {
+        String key = headers.get(HeaderNames.IDEMPOTENCY_KEY);
+        if (key == null) {
+            require(requestClass.idempotency() != Idempotency.WITH_KEY);
+        } else {
+            require(isVisibleAscii(key, MAX_IDENTIFIER_LENGTH));
+        }
+        return key;
+    }
+
+    private static double timeoutMillis(HttpHeaders headers, RequestClass requestClass)
+            throws RejectedRequestException {
+        String seconds = headers.get(HeaderNames.REQUEST_TIMEOUT);
+        double timeoutMillis = seconds == null
+                ? requestClass.deadlineMillis()
+                : Decimals.parse(seconds, MAX_TIMEOUT_SECONDS) * MILLIS_PER_SECOND;
+        // False also for NaN, which stands for a malformed number.
+        require(timeoutMillis > 0);
+        return timeoutMillis;
     }
 
-    private static HttpHeaders onward(HttpHeaders from, String id, String key) {
+    private static HttpHeaders forwardedHeaders(HttpHeaders received, String id, String idempotencyKey) {
         HttpHeaders headers = new DefaultHttpHeaders();
-        // An endpoint wants one; a client of the older HTTP may have none.
-        headers.set(HttpHeaderNames.HOST, from.get(HttpHeaderNames.HOST, ""));
+        // Endpoints require a host; a client of HTTP/1.0 may send none.
+        headers.set(HttpHeaderNames.HOST, received.get(HttpHeaderNames.HOST, ""));
         headers.set(HeaderNames.REQUEST_ID, id);
-        headers.set(HeaderNames.REQUEST_CLASS, from.get(HeaderNames.REQUEST_CLASS));
-        if (key != null) {
-            headers.set(HeaderNames.IDEMPOTENCY_KEY, key);
+        headers.set(HeaderNames.REQUEST_CLASS, received.get(HeaderNames.REQUEST_CLASS));
+        if (idempotencyKey != null) {
+            headers.set(HeaderNames.IDEMPOTENCY_KEY, idempotencyKey);
         }
-        String type = from.get(HttpHeaderNames.CONTENT_TYPE);
-        if (type != null) {
-            headers.set(HttpHeaderNames.CONTENT_TYPE, type);
+        String contentType = received.get(HttpHeaderNames.CONTENT_TYPE);
+        if (contentType != null) {
+            headers.set(HttpHeaderNames.CONTENT_TYPE, contentType);
         }
         return headers;
     }
 
     // ASCII without blanks and control characters, which endpoints might read differently.
-    private static boolean visible(String text, int maxLength) {
+    private static boolean isVisibleAscii(String text, int maxLength) {
         return !text.isEmpty() && text.length() <= maxLength && text.chars().allMatch(c -> c > ' ' && c < 0x7f);
     }
 
-    private static void require(boolean good) throws Rejected {
-        if (!good) {
-            throw new Rejected(HttpResponseStatus.BAD_REQUEST);
+    private static void require(boolean valid) throws RejectedRequestException {
+        if (!valid) {
+            throw new RejectedRequestException(HttpResponseStatus.BAD_REQUEST);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/loadbalancer/downstream/ServerContext.java
@@ -0,0 +1,27 @@
+package loadbalancer.downstream;
+
+import loadbalancer.proxy.RequestDispatcher;
+
+/** What a client connection needs of the server that accepted it. */
+interface ServerContext {
+    /** True if {@code /health/ready} is to be answered 200. */
+    boolean isReady();
+
+    /** True once idle connections are closed and every response closes its own. */
+    boolean isShuttingDown();
+
+    /** True once pending requests have been failed, and none can be served before the process is killed. */
+    boolean isPastShutdownDeadline();
+
+    /** Validates the heads of requests. */
+    RequestValidator validator();
+
+    /** Takes valid requests. */
+    RequestDispatcher dispatcher();
+
+    /** Reports a connection that was accepted and has become active. */
+    void connectionOpened(ClientConnection connection);
+
+    /** Reports a connection that was closed; it may be reported twice. */
+    void connectionClosed(ClientConnection connection);
+}
--- a/src/main/java/loadbalancer/downstream/ShutdownSchedule.java
+++ b/src/main/java/loadbalancer/downstream/ShutdownSchedule.java
@@ -4,45 +4,49 @@
 import loadbalancer.policy.RequestClass;
 
 /**
- * When a drain takes its steps, in milliseconds after SIGTERM.
+ * The times of a graceful shutdown's steps, in milliseconds after SIGTERM.
  *
  * <p>PROTOCOL, "Figures": new connections keep coming for 0.2 to 0.4 s after SIGTERM, and SIGKILL comes no sooner than
  * the longest deadline, counted as 3 s where it is longer, and 0.7 s more.
  *
- * @param closeIdleAt idle connections close, and from then on every answer closes its own
- * @param stopAcceptingAt no new connection is taken any more
- * @param failHeldAt whatever is still held is failed, and what comes later is refused at once
+ * @param closeIdleAtMillis idle connections are closed, and from then on every response closes its own
+ * @param stopAcceptingAtMillis the listener closes
+ * @param failPendingAtMillis pending requests are failed, and later ones are rejected at once
  */
-record ShutdownSchedule(double closeIdleAt, double stopAcceptingAt, double failHeldAt) {
-    private static final double LONGEST_DEADLINE_COUNTED_MS = 3000;
-    private static final double KILL_AFTER_DEADLINE_MS = 700;
-    /** Kept before the kill, for a late loop and for the last answers to go out. */
-    private static final double RESERVE_MS = 600;
-    /** New connections go on coming for up to 400 ms; the rest is for a late loop. */
-    private static final double MIN_OPEN_MS = 500;
-    /** What was taken last is given this long before it is failed; most answers come in far less. */
-    private static final double LAST_ANSWERS_MS = 900;
-    /** How long new connections are taken once idle ones close, for requests that crossed the close. */
-    private static final double CROSSING_MS = 400;
+record ShutdownSchedule(double closeIdleAtMillis, double stopAcceptingAtMillis, double failPendingAtMillis) {
+    /** PROTOCOL, "Figures": a longer deadline counts as this one. */
+    private static final double MAX_DEADLINE_MILLIS = 3000;
+    /** PROTOCOL, "Figures": from the longest deadline to SIGKILL. */
+    private static final double KILL_AFTER_DEADLINE_MILLIS = 700;
+    /** Left before SIGKILL, for a late loop and for writing the last responses. */
+    private static final double RESERVE_MILLIS = 600;
+    /** New connections keep coming for up to 400 ms; the rest is for a late loop. */
+    private static final double MIN_OPEN_MILLIS = 500;
+    /** Time for the requests that were accepted last before they are failed; most are answered in far less. */
+    private static final double LAST_RESPONSES_MILLIS = 900;
+    /** How long connections are accepted once idle ones are closed, for requests that crossed the close. */
+    private static final double CROSSED_REQUESTS_MILLIS = 400;
 
-    /** The schedule under these settings. */
+    /** The schedule for the longest deadline of these settings' classes. */
     static ShutdownSchedule of(PolicySettings settings) {
-        double longest = 0;
-        for (RequestClass type : settings.classes()) {
-            longest = Math.max(longest, type.deadlineMillis());
+        double longestDeadlineMillis = 0;
+        for (RequestClass requestClass : settings.classes()) {
+            longestDeadlineMillis = Math.max(longestDeadlineMillis, requestClass.deadlineMillis());
         }
-        return of(longest);
+        return of(longestDeadlineMillis);
     }
 
-    /** The schedule where the longest deadline of a class is so many milliseconds. */
-    static ShutdownSchedule of(double longestDeadline) {
-        double failHeldAt = killAt(longestDeadline) - RESERVE_MS;
-        double closeIdleAt = Math.min(failHeldAt, Math.max(MIN_OPEN_MS, failHeldAt - LAST_ANSWERS_MS));
-        return new ShutdownSchedule(closeIdleAt, closeIdleAt + CROSSING_MS, failHeldAt);
+    /** The schedule for a longest deadline of so many milliseconds. */
+    static ShutdownSchedule of(double longestDeadlineMillis) {
+        double failPendingAtMillis = earliestKillMillis(longestDeadlineMillis) - RESERVE_MILLIS;
+        double closeIdleAtMillis =
+                Math.min(failPendingAtMillis, Math.max(MIN_OPEN_MILLIS, failPendingAtMillis - LAST_RESPONSES_MILLIS));
+        return new ShutdownSchedule(
+                closeIdleAtMillis, closeIdleAtMillis + CROSSED_REQUESTS_MILLIS, failPendingAtMillis);
     }
 
-    /** The earliest moment at which SIGKILL may come. */
-    static double killAt(double longestDeadline) {
-        return Math.min(LONGEST_DEADLINE_COUNTED_MS, longestDeadline) + KILL_AFTER_DEADLINE_MS;
+    /** The earliest time at which SIGKILL may come. */
+    static double earliestKillMillis(double longestDeadlineMillis) {
+        return Math.min(MAX_DEADLINE_MILLIS, longestDeadlineMillis) + KILL_AFTER_DEADLINE_MILLIS;
     }
 }
--- a/src/test/java/loadbalancer/downstream/DrainTest.java
+++ b/src/test/java/loadbalancer/downstream/DrainTest.java
@@ -83,7 +83,7 @@
     @Test
     void allConnectionsThatWaitToBeAcceptedInALateTurnAreServedBeforeTheListenerCloses() throws Exception {
         int waiting = 40;
-        long stopAccepting = (long) ShutdownSchedule.of(DEADLINE_MS).stopAcceptingAt();
+        long stopAccepting = (long) ShutdownSchedule.of(DEADLINE_MS).stopAcceptingAtMillis();
         CountDownLatch drained = new CountDownLatch(1);
         List<TestClient> clients = new ArrayList<>();
         try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
