--- a/src/test/java/loadbalancer/downstream/BadInputTest.java
+++ b/src/test/java/loadbalancer/downstream/MalformedRequestTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Nothing that is malformed reaches the module or an endpoint, and what is wrong is said plainly. */
-class BadInputTest {
+/** Malformed requests, which reach neither the policy nor an endpoint and are answered with the right status. */
+class MalformedRequestTest {
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -54,26 +54,25 @@
                 "POST /api HTTP/1.1~Request-Id: 1~Request-Class: submit~Content-Length: x~~ | 400",
                 "GET /api NONSENSE~~ | 400"
             })
-    void aBadRequestIsAnsweredAtOnce(String request, int status) throws Exception {
-        try (FakeServer e = new FakeServer((r, w) -> w.ok("done"));
-                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address());
-                TestClient c = n.client();
-                TestClient next = n.client()) {
-            TestClient.Answer answer = c.ask(request.replace("~", "\r\n"));
+    void answersMalformedRequestAndClosesConnection(String request, int status) throws Exception {
+        try (SidecarFixture fixture = SidecarFixture.start()) {
+            TestClient client = fixture.client();
+            TestClient other = fixture.client();
+            TestClient.Answer answer = client.ask(request.replace("~", "\r\n"));
             assertEquals(status, answer.status());
             // Where the next request would begin is not known, so there is no next one on this connection.
             assertEquals("close", answer.headers().get("connection"));
-            assertNull(c.read());
-            assertEquals(0, e.connections());
-            assertEquals(200, next.ask(TestClient.status("5")).status());
+            assertNull(client.read());
+            assertEquals(0, fixture.endpoint.connections());
+            assertEquals(200, other.ask(TestClient.status("5")).status());
         }
     }
 
     @Test
-    void readinessIsTold() throws Exception {
-        try (TestSidecar n = new TestSidecar(FakeServer.refusing());
-                TestClient c = n.client()) {
-            assertEquals(200, c.ask("GET /health/ready HTTP/1.1\r\n\r\n").status());
+    void answersReadinessCheck() throws Exception {
+        try (TestSidecar sidecar = new TestSidecar(FakeServer.refusing());
+                TestClient client = sidecar.client()) {
+            assertEquals(200, client.ask("GET /health/ready HTTP/1.1\r\n\r\n").status());
         }
     }
 }
