--- a/src/main/java/loadbalancer/Main.java
+++ b/src/main/java/loadbalancer/Main.java
@@ -15,24 +15,38 @@
 public final class Main {
     private static final String PROGRAM = "load-balancing-sidecar";
     private static final String CONFIGURATION_VARIABLE = "PROXY_CONFIG";
+    private static final int EXIT_SUCCESS = 0;
     private static final int EXIT_FAILURE = 1;
     private static final int EXIT_USAGE = 2;
     private static final String USAGE =
-            "usage: java -jar " + PROGRAM + ".jar serve | check | train-class-archive | simulator-adapter";
+            """
+            usage: java -jar load-balancing-sidecar.jar COMMAND
+
+            commands:
+              serve                 serve requests until SIGTERM
+              check                 check the configuration and that a start with it succeeds
+              train-class-archive   exercise a sidecar for the JVM's class archive
+              simulator-adapter     run the balancing policy for the simulator, on standard input and output
+
+            All commands but simulator-adapter read the configuration file that PROXY_CONFIG names.
+            """;
 
     private Main() {}
 
-    /** Runs one command; exits with 2 on wrong usage and with 1 on a bad configuration or a failed start. */
+    /**
+     * Runs one command. Prints the usage on {@code --help} or {@code -h}; exits with 2 on wrong usage and with 1 on an
+     * invalid configuration or a failed start.
+     */
     public static void main(String[] args) {
         String command = args.length == 1 ? args[0] : "";
         try {
             run(command);
         } catch (ConfigurationException e) {
-            exit(EXIT_FAILURE, PROGRAM + ": configuration: " + e.getMessage());
+            fail(PROGRAM + ": configuration: " + e.getMessage());
         } catch (StartupException e) {
-            exit(EXIT_FAILURE, PROGRAM + ": cannot start: " + e.getMessage());
+            fail(PROGRAM + ": cannot start: " + e.getMessage());
         } catch (WireFormatException | IOException e) {
-            exit(EXIT_FAILURE, command + ": " + e.getMessage());
+            fail(command + ": " + e.getMessage());
         }
     }
 
@@ -41,16 +55,23 @@
             case "serve" -> SidecarProcess.prepare(configurationPath()).serve();
             case "check" -> {
                 SidecarProcess.prepare(configurationPath());
-                System.exit(0);
+                System.exit(EXIT_SUCCESS);
             }
             case "train-class-archive" -> {
                 ClassArchiveTraining.run(configurationPath());
-                System.exit(0);
+                System.exit(EXIT_SUCCESS);
             }
             case "simulator-adapter" -> new SimulatorConnection(
                             new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out))
                     .run();
-            default -> exit(EXIT_USAGE, USAGE);
+            case "--help", "-h" -> {
+                System.out.print(USAGE);
+                System.exit(EXIT_SUCCESS);
+            }
+            default -> {
+                System.err.print(USAGE);
+                System.exit(EXIT_USAGE);
+            }
         }
     }
 
@@ -62,8 +83,8 @@
         return path;
     }
 
-    private static void exit(int code, String line) {
+    private static void fail(String line) {
         System.err.println(line);
-        System.exit(code);
+        System.exit(EXIT_FAILURE);
     }
 }
--- a/src/main/java/loadbalancer/eventloop/BusyLoopDetector.java
+++ b/src/main/java/loadbalancer/eventloop/BusyLoopDetector.java
@@ -6,16 +6,16 @@
 import java.util.function.LongSupplier;
 
 /**
- * Logs a line when an event loop uses much processor time with hardly any socket events to show for it. Many turns
- * then point at a loop that polls without waiting, few turns at a task that runs for long.
+ * Logs a line when an event loop uses much processor time while it handles hardly any socket events. Many turns then
+ * point at a loop that polls without waiting, few turns at a task that runs for long.
  */
 public final class BusyLoopDetector implements Runnable {
-    private static final long CHECK_INTERVAL_MS = 1000;
-    private static final double LOG_INTERVAL_MS = 10_000;
-    /** The share of the time that passed from which the processor time used is much. */
-    private static final double BUSY_SHARE = 0.5;
-    /** Fewer socket events a second than this do not explain a busy loop. */
-    private static final int EVENTS_PER_SECOND = 5;
+    private static final long CHECK_INTERVAL_MILLIS = 1000;
+    private static final double MIN_LOG_INTERVAL_MILLIS = 10_000;
+    /** The fraction of the elapsed time above which the processor time used is too much to go unexplained. */
+    private static final double MAX_PROCESSOR_FRACTION = 0.5;
+    /** Fewer socket events than this do not explain a busy loop. */
+    private static final int MIN_SOCKET_EVENTS_PER_SECOND = 5;
 
     private static final double MILLIS_PER_SECOND = 1000;
     private static final double NANOS_PER_MILLI = 1e6;
@@ -24,17 +24,18 @@
     private final Clock clock;
     private final LongSupplier processorNanos;
     private final Consumer<String> log;
-    private double checkedAt;
-    /** Unknown until the first run, which so has nothing to compare with. */
-    private long processorNanosThen = ThreadProcessorTime.UNKNOWN;
+    private double previousCheckMillis;
+    /** Unknown until the first check, which therefore has nothing to compare with. */
+    private long previousProcessorNanos = ThreadProcessorTime.UNKNOWN;
 
-    private long turnsThen;
-    private long socketEventsThen;
-    private double loggedAt = Double.NEGATIVE_INFINITY;
+    private long previousTurns;
+    private long previousSocketEvents;
+    private double loggedAtMillis = Double.NEGATIVE_INFINITY;
 
     /**
-     * A detector that measures from its first run on.
+     * Makes a detector that measures from its first run on.
      *
+     * @param activity the loop's counters
      * @param processorNanos the processor time that the loop's thread has used, or {@link ThreadProcessorTime#UNKNOWN}
      */
     BusyLoopDetector(LoopActivity activity, Clock clock, LongSupplier processorNanos, Consumer<String> log) {
@@ -44,49 +45,49 @@
         this.log = log;
     }
 
-    /** Checks this loop once a second, on the loop itself. */
+    /** Checks the loop once a second, on the loop itself. */
     public static void start(EventLoop loop, LoopActivity activity, Clock clock, Consumer<String> log) {
         BusyLoopDetector detector = new BusyLoopDetector(activity, clock, new ThreadProcessorTime(), log);
-        loop.scheduleWithFixedDelay(detector, 0, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(detector, 0, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Looks at what the loop did since the last run. */
+    /** Checks what the loop did since the previous run. */
     @Override
     public void run() {
-        double now = clock.now();
-        long processorNanosNow = processorNanos.getAsLong();
-        check(now, processorNanosNow);
-        remember(now, processorNanosNow);
+        double nowMillis = clock.now();
+        long currentProcessorNanos = processorNanos.getAsLong();
+        if (currentProcessorNanos != ThreadProcessorTime.UNKNOWN
+                && previousProcessorNanos != ThreadProcessorTime.UNKNOWN) {
+            check(nowMillis, (currentProcessorNanos - previousProcessorNanos) / NANOS_PER_MILLI);
+        }
+        previousCheckMillis = nowMillis;
+        previousProcessorNanos = currentProcessorNanos;
+        previousTurns = activity.turns();
+        previousSocketEvents = activity.socketEvents();
     }
 
-    private void check(double now, long processorNanosNow) {
-        double elapsed = now - checkedAt;
-        double used = (processorNanosNow - processorNanosThen) / NANOS_PER_MILLI;
-        long events = activity.socketEvents() - socketEventsThen;
-        long turns = activity.turns() - turnsThen;
-        boolean measured =
-                processorNanosNow != ThreadProcessorTime.UNKNOWN && processorNanosThen != ThreadProcessorTime.UNKNOWN;
-        boolean busy = used > elapsed * BUSY_SHARE && events < EVENTS_PER_SECOND * elapsed / MILLIS_PER_SECOND;
-        if (measured && busy && now - loggedAt >= LOG_INTERVAL_MS) {
-            loggedAt = now;
-            // No formatter and no concatenation of strings: both load much on their first use.
-            log.accept(new StringBuilder("event loop busy without cause: ")
-                    .append(Math.round(used))
-                    .append(" ms of processor time in ")
-                    .append(Math.round(elapsed))
-                    .append(" ms, ")
-                    .append(turns)
-                    .append(" turns, ")
-                    .append(events)
-                    .append(" socket events")
-                    .toString());
+    private void check(double nowMillis, double processorMillis) {
+        double elapsedMillis = nowMillis - previousCheckMillis;
+        long socketEvents = activity.socketEvents() - previousSocketEvents;
+        boolean busy = processorMillis > elapsedMillis * MAX_PROCESSOR_FRACTION
+                && socketEvents < MIN_SOCKET_EVENTS_PER_SECOND * elapsedMillis / MILLIS_PER_SECOND;
+        if (busy && nowMillis - loggedAtMillis >= MIN_LOG_INTERVAL_MILLIS) {
+            loggedAtMillis = nowMillis;
+            log.accept(message(processorMillis, elapsedMillis, activity.turns() - previousTurns, socketEvents));
         }
     }
 
-    private void remember(double now, long processorNanosNow) {
-        checkedAt = now;
-        processorNanosThen = processorNanosNow;
-        turnsThen = activity.turns();
-        socketEventsThen = activity.socketEvents();
+    private static String message(double processorMillis, double elapsedMillis, long turns, long socketEvents) {
+        // No formatter and no concatenation of strings: both load many classes on their first use.
+        return new StringBuilder("event loop busy without cause: ")
+                .append(Math.round(processorMillis))
+                .append(" ms of processor time in ")
+                .append(Math.round(elapsedMillis))
+                .append(" ms, ")
+                .append(turns)
+                .append(" turns, ")
+                .append(socketEvents)
+                .append(" socket events")
+                .toString();
     }
 }
--- a/src/main/java/loadbalancer/eventloop/Clock.java
+++ b/src/main/java/loadbalancer/eventloop/Clock.java
@@ -3,39 +3,50 @@
 import java.util.function.LongSupplier;
 
 /**
- * The module's clock: milliseconds that begin at Unix time and from then on follow the monotonic clock, so that no
+ * The program's clock: milliseconds that begin at Unix time and from then on follow the monotonic clock, so that no
  * step of the wall clock moves a deadline, a window or a wait. The only class that reads the wall clock.
  */
 public final class Clock {
-    private static final double NANOS_IN_MILLI = 1e6;
+    private static final double NANOS_PER_MILLI = 1e6;
 
-    private final LongSupplier nanos;
+    private final LongSupplier monotonicNanos;
     private final LongSupplier wallMillis;
-    private final double unixAtStart;
-    private final long nanosAtStart;
+    private final double startUnixMillis;
+    private final long startNanos;
 
+    /** Makes a clock that follows the system's monotonic clock. */
     public Clock() {
         this(System::nanoTime);
     }
 
-    /** A clock that follows this one, in nanoseconds, which never runs backwards. */
-    public Clock(LongSupplier nanos) {
-        this(nanos, System::currentTimeMillis);
+    /**
+     * Makes a clock that follows another monotonic clock.
+     *
+     * @param monotonicNanos nanoseconds from any origin, which never run backwards
+     */
+    public Clock(LongSupplier monotonicNanos) {
+        this(monotonicNanos, System::currentTimeMillis);
     }
 
-    /** A clock that follows the first one, in nanoseconds, beside a wall clock in milliseconds of Unix time. */
-    public Clock(LongSupplier nanos, LongSupplier wallMillis) {
-        this.nanos = nanos;
+    /**
+     * Makes a clock that follows another monotonic clock and starts at another wall clock's time.
+     *
+     * @param monotonicNanos nanoseconds from any origin, which never run backwards
+     * @param wallMillis milliseconds of Unix time
+     */
+    public Clock(LongSupplier monotonicNanos, LongSupplier wallMillis) {
+        this.monotonicNanos = monotonicNanos;
         this.wallMillis = wallMillis;
-        this.unixAtStart = wallMillis.getAsLong();
-        this.nanosAtStart = nanos.getAsLong();
+        this.startUnixMillis = wallMillis.getAsLong();
+        this.startNanos = monotonicNanos.getAsLong();
     }
 
+    /** Returns the present time in milliseconds: Unix time at this clock's start plus the monotonic time since. */
     public double now() {
-        return unixAtStart + (nanos.getAsLong() - nanosAtStart) / NANOS_IN_MILLI;
+        return startUnixMillis + (monotonicNanos.getAsLong() - startNanos) / NANOS_PER_MILLI;
     }
 
-    /** By how many milliseconds the wall clock is ahead of this one: as far as it was stepped, and its drift. */
+    /** Returns by how many milliseconds the wall clock is ahead of this one, by steps and by drift. */
     public double wallClockOffset() {
         return wallMillis.getAsLong() - now();
     }
--- a/src/main/java/loadbalancer/eventloop/CoarseTimerIoHandler.java
+++ b/src/main/java/loadbalancer/eventloop/CoarseTimerIoHandler.java
@@ -10,12 +10,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Netty's NIO handler with waits rounded up to whole milliseconds, which is all that a selector can wait for.
+ * Netty's NIO handler with waits rounded up to whole milliseconds, the resolution of a selector's wait.
  *
  * <p>{@link NioIoHandler} rounds to the nearest millisecond. With less than half a millisecond left to the next timer
- * it does not wait at all, and the loop polls its sockets over and over until the timer is due: an idle sidecar made
- * some two thousand such turns a second. Rounded up, a timer runs up to a millisecond late, and the loop sleeps until
- * then.
+ * it does not wait at all, and the loop polls its sockets repeatedly until the timer is due: an idle sidecar made some
+ * two thousand such turns a second. Rounded up, a timer runs up to a millisecond late, and the loop sleeps until then.
  */
 final class CoarseTimerIoHandler implements IoHandler {
     private static final long NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
@@ -29,10 +28,14 @@
         this.activity = activity;
     }
 
-    /** Makes handlers that count what they do in this activity; it is for one loop. */
+    /**
+     * Makes a factory for the handler of one loop.
+     *
+     * @param activity the counters that the handler updates
+     */
     static IoHandlerFactory newFactory(LoopActivity activity) {
         IoHandlerFactory nio = NioIoHandler.newFactory();
-        // No lambda: each one that a start links brings it nearer to where the JVM makes a class of its own for that.
+        // No lambda: each lambda linked at the start brings the JVM closer to generating further classes for them.
         return new IoHandlerFactory() {
             @Override
             public IoHandler newHandler(ThreadAwareExecutor executor) {
@@ -41,7 +44,7 @@
         };
     }
 
-    /** This wait for a timer in nanoseconds, rounded up to whole milliseconds; one that is over stays as it is. */
+    /** Returns the delay in nanoseconds, rounded up to whole milliseconds; one that is zero or negative is unchanged. */
     static long roundUp(long delayNanos) {
         if (delayNanos <= 0 || delayNanos > Long.MAX_VALUE - NANOS_PER_MILLI) {
             return delayNanos;
@@ -52,9 +55,9 @@
     @Override
     public int run(IoHandlerContext context) {
         rounding.context = context;
-        int handled = delegate.run(rounding);
-        activity.turn(handled);
-        return handled;
+        int readySockets = delegate.run(rounding);
+        activity.recordTurn(readySockets);
+        return readySockets;
     }
 
     @Override
@@ -87,7 +90,7 @@
         return delegate.isCompatible(handleType);
     }
 
-    /** The loop as its handler sees it, with the rounded wait. */
+    /** The context of the loop's present turn, with the delay to the next timer rounded up. */
     private static final class RoundingContext implements IoHandlerContext {
         private IoHandlerContext context;
 
--- a/src/main/java/loadbalancer/eventloop/EventLoops.java
+++ b/src/main/java/loadbalancer/eventloop/EventLoops.java
@@ -7,7 +7,11 @@
 public final class EventLoops {
     private EventLoops() {}
 
-    /** A loop with a thread of its own, which counts what it does in this activity. */
+    /**
+     * Makes a loop with a thread of its own, whose waits end on whole milliseconds.
+     *
+     * @param activity the counters that the loop updates; they are for this loop alone
+     */
     public static EventLoop newEventLoop(LoopActivity activity) {
         return new MultiThreadIoEventLoopGroup(1, CoarseTimerIoHandler.newFactory(activity)).next();
     }
--- a/src/main/java/loadbalancer/eventloop/LoopActivity.java
+++ b/src/main/java/loadbalancer/eventloop/LoopActivity.java
@@ -1,22 +1,29 @@
 package loadbalancer.eventloop;
 
-/** What an event loop has done since it started. Only the loop's own thread reads or changes it. */
+/** Counters of what an event loop has done since it started. Only the loop's own thread reads or changes them. */
 public final class LoopActivity {
     private long turns;
     private long socketEvents;
 
-    /** Counts one turn and the socket events that it handled. */
-    void turn(int handled) {
+    /** Makes counters that start at zero. */
+    public LoopActivity() {}
+
+    /**
+     * Counts one turn of the loop.
+     *
+     * @param readySockets the socket events that the turn handled
+     */
+    void recordTurn(int readySockets) {
         turns++;
-        socketEvents += handled;
+        socketEvents += readySockets;
     }
 
-    /** How often the loop has looked at its sockets, whether or not it waited for them. */
+    /** Returns how often the loop has selected its sockets, whether or not it waited for them. */
     public long turns() {
         return turns;
     }
 
-    /** How many sockets were found ready in all these turns. */
+    /** Returns how many sockets were found ready in all turns together. */
     public long socketEvents() {
         return socketEvents;
     }
--- a/src/main/java/loadbalancer/eventloop/LoopLateness.java
+++ b/src/main/java/loadbalancer/eventloop/LoopLateness.java
@@ -1,53 +1,58 @@
 package loadbalancer.eventloop;
 
 /**
- * How late the loop lately ran what was due, and what that takes off a client's wait. A request may have waited so
- * long before it was read, and its answer may wait so long again.
+ * How late the event loop recently ran what was due, and the safety margin that follows for a client's timeout. A
+ * request may have waited that long before it was read, and its response may wait that long again.
  */
 public final class LoopLateness {
-    /** What a request's way here and its answer's way back take; of a short wait no more than this share. */
-    private static final double WAY_MS = 25;
-
-    private static final double MAX_WAY_SHARE = 0.1;
-    /** Once for the request that the loop found late and once for the answer that it will give late. */
-    private static final double TIMES_LATE = 2;
-    /** Of a short wait no more than this share is taken off for a late loop. */
-    private static final double MAX_LATE_SHARE = 0.3;
-
-    private static final double HALF_LIFE_MS = 1500;
-    /** A loop that was later than this is not remembered as later. */
-    private static final double MAX_REMEMBERED_MS = 1000;
+    /** For the request's way here and its response's way back. Tuned: it fits deadlines of a second and more. */
+    private static final double MAX_TRANSFER_MARGIN_MILLIS = 25;
+    /** The most of a short timeout that is set aside for both ways. Tuned for deadlines of less than a second. */
+    private static final double MAX_TRANSFER_FRACTION = 0.1;
+    /** Once for the request, which the loop read late, and once for the response, which it will write late. */
+    private static final double LATENESS_FACTOR = 2;
+    /** The most of a short timeout that is set aside for a late loop. Tuned. */
+    private static final double MAX_LATENESS_FRACTION = 0.3;
+    /** After which time half of a lateness is forgotten. Tuned. */
+    private static final double HALF_LIFE_MILLIS = 1500;
+    /** Greater latenesses count as this one, so that one long stall does not shorten timeouts for long. */
+    private static final double MAX_LATENESS_MILLIS = 1000;
 
     private final Clock clock;
-    private double late;
-    private double lateAt;
+    private double latenessMillis;
+    private double measuredAtMillis;
 
-    /** A loop that has been in time so far. */
+    /** Makes a measure for a loop that has been on time so far. */
     public LoopLateness(Clock clock) {
         this.clock = clock;
     }
 
-    /** Notes that something runs now that was due then, in the clock's milliseconds. */
-    public void recordRun(double due) {
-        double now = clock.now();
-        if (now - due > current()) {
-            late = Math.min(MAX_REMEMBERED_MS, now - due);
-            lateAt = now;
+    /**
+     * Records that something runs now.
+     *
+     * @param dueMillis when it was due, in the clock's milliseconds
+     */
+    public void recordRun(double dueMillis) {
+        double nowMillis = clock.now();
+        if (nowMillis - dueMillis > current()) {
+            latenessMillis = Math.min(MAX_LATENESS_MILLIS, nowMillis - dueMillis);
+            measuredAtMillis = nowMillis;
         }
     }
 
-    /** How late the loop lately was, in milliseconds; it falls by half in a while. */
+    /** Returns the recent lateness in milliseconds; it decays exponentially. */
     public double current() {
-        return late * Math.pow(0.5, (clock.now() - lateAt) / HALF_LIFE_MS);
+        return latenessMillis * Math.pow(0.5, (clock.now() - measuredAtMillis) / HALF_LIFE_MILLIS);
     }
 
-    /** The milliseconds to take off a client's wait of this many. */
-    public double safetyMargin(double timeout) {
-        return safetyMargin(timeout, current());
+    /** Returns the milliseconds to subtract from a client's timeout, given in milliseconds, at the recent lateness. */
+    public double safetyMargin(double timeoutMillis) {
+        return safetyMargin(timeoutMillis, current());
     }
 
-    /** The milliseconds to take off a client's wait while the loop is so late. */
-    public static double safetyMargin(double timeout, double late) {
-        return Math.min(WAY_MS, timeout * MAX_WAY_SHARE) + Math.min(TIMES_LATE * late, timeout * MAX_LATE_SHARE);
+    /** Returns the milliseconds to subtract from a client's timeout at this lateness, both in milliseconds. */
+    public static double safetyMargin(double timeoutMillis, double latenessMillis) {
+        return Math.min(MAX_TRANSFER_MARGIN_MILLIS, timeoutMillis * MAX_TRANSFER_FRACTION)
+                + Math.min(LATENESS_FACTOR * latenessMillis, timeoutMillis * MAX_LATENESS_FRACTION);
     }
 }
--- a/src/main/java/loadbalancer/eventloop/ThreadProcessorTime.java
+++ b/src/main/java/loadbalancer/eventloop/ThreadProcessorTime.java
@@ -9,31 +9,31 @@
 /**
  * The processor time of one thread, read from Linux's {@code /proc} (proc(5), {@code utime} and {@code stime}).
  *
- * <p>The JVM's management interface tells the same, but loads some hundred classes and links so many lambdas at the
- * start that the JVM spins a class for that in a turn that serves.
+ * <p>The JVM's management interface gives the same figure, but loads some hundred classes and links so many lambdas at
+ * the start that the JVM later generates a class for them in a turn that serves requests.
  */
 final class ThreadProcessorTime implements LongSupplier {
-    /** What stands for a time that is not known, for instance where there is no {@code /proc}. */
+    /** The value of an unknown time, for instance on a system without {@code /proc}. */
     static final long UNKNOWN = -1;
 
-    private static final String FILE = "/proc/thread-self/stat";
-    private static final int MAX_LENGTH = 1024;
-    /** Linux counts in hundredths of a second towards programs, whatever the kernel itself counts in. */
+    private static final String STATISTICS_FILE = "/proc/thread-self/stat";
+    private static final int MAX_LINE_BYTES = 1024;
+    /** Linux reports hundredths of a second to programs ({@code USER_HZ}), whatever the kernel's own resolution. */
     private static final long NANOS_PER_TICK = TimeUnit.MILLISECONDS.toNanos(10);
-    /** Blanks between the thread's name, which is in parentheses, and {@code utime}. */
-    private static final int BLANKS_BEFORE_USER_TIME = 12;
+    /** Spaces between the thread's name, which is in parentheses, and {@code utime}. */
+    private static final int SPACES_BEFORE_USER_TIME = 12;
 
-    private final byte[] buffer = new byte[MAX_LENGTH];
+    private final byte[] buffer = new byte[MAX_LINE_BYTES];
     private RandomAccessFile file;
-    private boolean opened;
+    private boolean openAttempted;
 
-    /** The time that the thread of the first call has used so far in nanoseconds, or {@link #UNKNOWN}. */
+    /** Returns the nanoseconds that the thread of the first call has used so far, or {@link #UNKNOWN}. */
     @Override
     public long getAsLong() {
         try {
-            if (!opened) {
-                opened = true;
-                file = new RandomAccessFile(FILE, "r");
+            if (!openAttempted) {
+                openAttempted = true;
+                file = new RandomAccessFile(STATISTICS_FILE, "r");
             }
             if (file == null) {
                 return UNKNOWN;
@@ -46,22 +46,22 @@
         }
     }
 
-    /** User and system time in this line of {@code stat}, in nanoseconds, or {@link #UNKNOWN}. */
+    /** Returns the user and system time of a line of {@code stat} in nanoseconds, or {@link #UNKNOWN}. */
     static long parse(String line) {
-        // A thread's name may hold blanks and parentheses of its own.
-        int at = line.lastIndexOf(')') + 1;
-        for (int i = 0; i < BLANKS_BEFORE_USER_TIME && at > 0; i++) {
-            at = line.indexOf(' ', at) + 1;
+        // The name may itself contain spaces and parentheses.
+        int userStart = line.lastIndexOf(')') + 1;
+        for (int i = 0; i < SPACES_BEFORE_USER_TIME && userStart > 0; i++) {
+            userStart = line.indexOf(' ', userStart) + 1;
         }
-        int userEnd = at > 0 ? line.indexOf(' ', at) : -1;
+        int userEnd = userStart > 0 ? line.indexOf(' ', userStart) : -1;
         int systemEnd = userEnd > 0 ? line.indexOf(' ', userEnd + 1) : -1;
         if (systemEnd < 0) {
             return UNKNOWN;
         }
         try {
-            long user = Long.parseLong(line.substring(at, userEnd));
-            long system = Long.parseLong(line.substring(userEnd + 1, systemEnd));
-            return (user + system) * NANOS_PER_TICK;
+            long userTicks = Long.parseLong(line.substring(userStart, userEnd));
+            long systemTicks = Long.parseLong(line.substring(userEnd + 1, systemEnd));
+            return (userTicks + systemTicks) * NANOS_PER_TICK;
         } catch (NumberFormatException e) {
             return UNKNOWN;
         }
--- a/src/main/java/loadbalancer/lifecycle/SidecarComponents.java
+++ b/src/main/java/loadbalancer/lifecycle/SidecarComponents.java
@@ -14,24 +14,34 @@
 import loadbalancer.upstream.EndpointPool;
 
 /**
- * The components of one sidecar, made but idle.
+ * The components of one sidecar, constructed but idle.
  *
- * @param start begins to serve; run on the event loop once the server listens
+ * @param server accepts the application's connections
+ * @param dispatcher takes requests from admission to their responses
+ * @param discovery watches the endpoint list
+ * @param start begins to serve; to be run on the event loop once the server listens
  */
 public record SidecarComponents(
         ClientServer server, RequestDispatcher dispatcher, DiscoveryClient discovery, Runnable start) {
-    /** Sixteenths of the descriptors: clients use a third for requests, and bad ones need room to be rejected. */
-    private static final int CLIENT_SHARE = 7;
-    /** As many as clients have requests, and some idle. The rest is for the JVM, the listener and discovery. */
-    private static final int ENDPOINT_SHARE = 6;
+    /** Sixteenths of the descriptors; tuned: requests need a third, and invalid clients some more to be rejected. */
+    private static final int CLIENT_DESCRIPTOR_SIXTEENTHS = 7;
+    /** Tuned: as many as clients have requests, and some idle. The rest is for the JVM, listener and discovery. */
+    private static final int ENDPOINT_DESCRIPTOR_SIXTEENTHS = 6;
 
-    private static final int SHARES = 16;
-    /** How long a start waits for a pushed list; with the agent out of reach the last known one must do. */
+    private static final int SIXTEENTHS = 16;
+    /** How long a start waits for a pushed list; if the agent is unreachable, the last known list is used. */
     private static final long MAX_LIST_WAIT_MILLIS = 2000;
 
     /**
-     * Makes the components, with this clock and this kind of connections to endpoints. Discovery is not asked before a
-     * failed bind could still end the process.
+     * Constructs the components. None of them opens a connection before {@link #start} runs, so that a failed bind ends
+     * the process before discovery is contacted.
+     *
+     * @param configuration the validated configuration
+     * @param mapper the parser of endpoint lists
+     * @param loop the event loop that all components run on
+     * @param clock the clock of all components
+     * @param channels the channel type of connections to endpoints
+     * @param log receives one line for each noteworthy event
      */
     public static SidecarComponents create(
             Configuration configuration,
@@ -46,7 +56,7 @@
                 clock,
                 configuration.connectTimeoutMillis(),
                 configuration.endpointIdleMillis(),
-                descriptors(configuration, ENDPOINT_SHARE));
+                descriptors(configuration, ENDPOINT_DESCRIPTOR_SIXTEENTHS));
         RequestDispatcher dispatcher =
                 new RequestDispatcher(loop, clock, configuration.settings(), configuration.seed(), pool, log);
         DiscoveryClient discovery = new DiscoveryClient(
@@ -61,13 +71,17 @@
                 dispatcher,
                 log);
         ClientServer server = new ClientServer(
-                loop, clock, dispatcher, configuration.settings(), descriptors(configuration, CLIENT_SHARE));
+                loop,
+                clock,
+                dispatcher,
+                configuration.settings(),
+                descriptors(configuration, CLIENT_DESCRIPTOR_SIXTEENTHS));
         return new SidecarComponents(
                 server, dispatcher, discovery, () -> start(configuration, loop, server, dispatcher, discovery));
     }
 
-    private static int descriptors(Configuration configuration, int share) {
-        return Math.max(1, configuration.maxDescriptors() * share / SHARES);
+    private static int descriptors(Configuration configuration, int sixteenths) {
+        return Math.max(1, configuration.maxDescriptors() * sixteenths / SIXTEENTHS);
     }
 
     private static void start(
@@ -79,8 +93,8 @@
         if (configuration.settings().endpointListPolled()) {
             server.markReady();
         } else {
-            // The sidecar counts as notified of what the local agent has from the start: the list of the file is not
-            // to be used before the agent's has come, unless there is none to be had.
+            // The local agent's list counts as known to the sidecar from the start, so the configured list must not be
+            // used before the agent's has come, unless the agent does not answer in time.
             dispatcher.onFirstList(server::markReady);
             loop.schedule(server::markReady, MAX_LIST_WAIT_MILLIS, TimeUnit.MILLISECONDS);
         }
--- a/src/main/java/loadbalancer/lifecycle/SidecarProcess.java
+++ b/src/main/java/loadbalancer/lifecycle/SidecarProcess.java
@@ -28,6 +28,7 @@
      * Reads the configuration, warms up and listens, without serving yet.
      *
      * @param path the configuration file
+     * @return the process, ready to serve
      * @throws ConfigurationException if the file can't be used
      * @throws StartupException if the process can't do what the file asks for
      */
@@ -43,7 +44,7 @@
             BusyLoopDetector.start(loop, activity, clock, LOG);
             Warmup.run(configuration.settings());
             ConfigurationReload reload = new ConfigurationReload(path, mapper, components.discovery(), LOG);
-            // On the loop, which owns the watch and runs several reloads in their order.
+            // On the loop, which owns the watch and runs consecutive reloads in order.
             HangupSignal.handle(() -> loop.execute(reload));
             components.server().listen(configuration.listenAddress()).syncUninterruptibly();
             return new SidecarProcess(loop, components);
@@ -55,7 +56,7 @@
 
     /** Serves until SIGTERM, upon which the process shuts down gracefully. Returns at once. */
     public void serve() {
-        // Before the first request can come.
+        // Registered before the first request can come.
         Runtime.getRuntime().addShutdownHook(new Thread(this::shutDown, "shutdown"));
         loop.execute(components.start());
     }
--- a/src/main/java/loadbalancer/lifecycle/StartupException.java
+++ b/src/main/java/loadbalancer/lifecycle/StartupException.java
@@ -4,6 +4,7 @@
 public final class StartupException extends Exception {
     private static final long serialVersionUID = 1;
 
+    /** Makes an exception with the message of its cause. */
     StartupException(Throwable cause) {
         super(cause.getMessage(), cause);
     }
--- a/src/main/java/loadbalancer/lifecycle/TrainingServer.java
+++ b/src/main/java/loadbalancer/lifecycle/TrainingServer.java
@@ -10,39 +10,68 @@
 import java.util.Locale;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
 
-/** Stands in for an endpoint or for discovery in {@link ClassArchiveTraining}: each request gets its one answer. */
+/**
+ * An endpoint or discovery in the {@link ClassArchiveTraining}: each request gets the same response. It runs in daemon
+ * threads until the process ends, as a sidecar may come back to it at any time.
+ */
 final class TrainingServer {
-    /** No answer but a reset. */
+    /** The head of a response in chunks, for which the server leaves the connection open. */
+    static final String CHUNKED_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    /** In place of a response: a reset. */
     static final String RESET = "reset";
-    /** No answer but an orderly close. */
+    /** In place of a response: an orderly close. */
     static final String CLOSE = "close";
-    /** Behind a head with no length: a body and a reset. */
+    /** After a head without a length: a body and a reset. */
     static final String THEN_RESET = "\r\nthen reset";
-    /** Behind a head with no length: a body and an orderly close. */
+    /** After a head without a length: a body and an orderly close. */
     static final String THEN_CLOSE = "\r\nthen close";
 
-    private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final BlockingQueue<Socket> asked = new LinkedBlockingQueue<>();
-    private final String answer;
+    private static final int ACCEPT_BACKLOG = 50;
+    private static final String LENGTH_PREFIX = "content-length:";
 
-    /** A server at a free port. */
-    TrainingServer(String answer) throws IOException {
-        this.answer = answer;
-        daemon(this::accept);
+    private final ServerSocket listener = new ServerSocket(0, ACCEPT_BACKLOG, InetAddress.getLoopbackAddress());
+    private final BlockingQueue<Socket> answered = new LinkedBlockingQueue<>();
+    private final String response;
+
+    /**
+     * Starts a server at a free port.
+     *
+     * @param response the text of its response, or one of this class's constants; if empty, it does not respond
+     */
+    TrainingServer(String response) throws IOException {
+        this.response = response;
+        startDaemon(this::accept);
     }
 
+    /** Returns host and port. */
     String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** The connections that requests came on, once each request has been answered. */
-    BlockingQueue<Socket> asked() {
-        return asked;
+    /** Removes and returns the connection of the next answered request; null if none comes in this time. */
+    Socket awaitConnection(long maxWaitMillis) throws InterruptedException {
+        return answered.poll(maxWaitMillis, TimeUnit.MILLISECONDS);
+    }
+
+    /** Removes and returns the connection of the next answered request; null if there is none now. */
+    Socket pollConnection() {
+        return answered.poll();
+    }
+
+    /** Returns whether there is an answered request whose connection was not removed yet. */
+    boolean hasConnection() {
+        return !answered.isEmpty();
+    }
+
+    /** Removes the connections of all answered requests, without closing them. */
+    void discardConnections() {
+        answered.clear();
     }
 
     /** Refuses connections from now on. */
-    void close() throws IOException {
+    void stopListening() throws IOException {
         listener.close();
     }
 
@@ -50,39 +79,39 @@
         try {
             while (true) {
                 Socket socket = listener.accept();
-                daemon(() -> serve(socket));
+                startDaemon(() -> serve(socket));
             }
         } catch (IOException e) {
-            // the end
+            // The server stopped listening.
         }
     }
 
-    private void answer(Socket socket) throws IOException {
-        switch (answer) {
+    private void serve(Socket socket) {
+        try (socket) {
+            InputStream input = new BufferedInputStream(socket.getInputStream());
+            while (read(input)) {
+                respond(socket);
+                // Not earlier: what is sent on a watch must follow the head of its response.
+                answered.add(socket);
+            }
+        } catch (IOException e) {
+            // The other side closed the connection, or the response was to break it.
+        }
+    }
+
+    private void respond(Socket socket) throws IOException {
+        switch (response) {
             case RESET -> reset(socket);
             case CLOSE -> socket.close();
-            default -> write(socket, answer);
+            default -> write(socket, response);
         }
-        if (answer.endsWith(THEN_CLOSE)) {
+        if (response.endsWith(THEN_CLOSE)) {
             socket.close();
-        } else if (answer.endsWith(THEN_RESET)) {
+        } else if (response.endsWith(THEN_RESET)) {
             reset(socket);
         }
     }
 
-    private void serve(Socket socket) {
-        try (socket) {
-            InputStream in = new BufferedInputStream(socket.getInputStream());
-            while (read(in)) {
-                answer(socket);
-                // Not before: what is pushed on a watch follows the head of its answer.
-                asked.add(socket);
-            }
-        } catch (IOException e) {
-            // the other side has gone, or was to be
-        }
-    }
-
     /** Sends this text. */
     static void write(Socket socket, String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
@@ -94,35 +123,36 @@
         socket.close();
     }
 
-    /** Reads one message with its body; false at the end. */
-    static boolean read(InputStream in) throws IOException {
-        int length = 0;
-        for (String line = line(in); line != null; line = line(in)) {
+    /** Reads one message with its body; returns false at the end of the stream. */
+    static boolean read(InputStream input) throws IOException {
+        int bodyLength = 0;
+        for (String line = readLine(input); line != null; line = readLine(input)) {
             if (line.isEmpty()) {
-                in.skipNBytes(length);
+                input.skipNBytes(bodyLength);
                 return true;
             }
-            if (line.toLowerCase(Locale.ROOT).startsWith("content-length:")) {
-                length = Integer.parseInt(line.substring(line.indexOf(':') + 1).trim());
+            if (line.toLowerCase(Locale.ROOT).startsWith(LENGTH_PREFIX)) {
+                bodyLength =
+                        Integer.parseInt(line.substring(LENGTH_PREFIX.length()).trim());
             }
         }
         return false;
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream input) throws IOException {
         StringBuilder line = new StringBuilder();
-        for (int c = in.read(); c != '\n'; c = in.read()) {
-            if (c < 0) {
+        for (int character = input.read(); character != '\n'; character = input.read()) {
+            if (character < 0) {
                 return null;
             }
-            if (c != '\r') {
-                line.append((char) c);
+            if (character != '\r') {
+                line.append((char) character);
             }
         }
         return line.toString();
     }
 
-    private static void daemon(Runnable task) {
+    private static void startDaemon(Runnable task) {
         Thread thread = new Thread(task);
         thread.setDaemon(true);
         thread.start();
--- a/src/test/java/loadbalancer/eventloop/BusyLoopDetectorTest.java
+++ b/src/test/java/loadbalancer/eventloop/BusyLoopDetectorTest.java
@@ -26,7 +26,7 @@
         nanos += TimeUnit.MILLISECONDS.toNanos(millis);
         processorNanos += TimeUnit.MILLISECONDS.toNanos(processorMillis);
         for (int i = 0; i < turns; i++) {
-            activity.turn(i == 0 ? socketEvents : 0);
+            activity.recordTurn(i == 0 ? socketEvents : 0);
         }
         detector.run();
     }
