--- a/src/test/java/loadbalancer/eventloop/BusyLoopDetectorTest.java
+++ b/src/test/java/loadbalancer/eventloop/BusyLoopDetectorTest.java
@@ -8,6 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
+/** The detection of loops that use processor time without handling socket events. */
 class BusyLoopDetectorTest {
     private final LoopActivity activity = new LoopActivity();
     private final List<String> log = new ArrayList<>();
@@ -17,12 +18,12 @@
             new BusyLoopDetector(activity, new Clock(() -> nanos), () -> processorNanos, log::add);
 
     @BeforeEach
-    void start() {
+    void takeFirstMeasurement() {
         detector.run();
     }
 
-    /** Lets time pass in which the loop uses so much processor time, in so many turns with so many events. */
-    private void pass(long millis, long processorMillis, int turns, int socketEvents) {
+    /** Advances the clock while the loop uses processor time in turns with socket events, and checks it. */
+    private void advance(long millis, long processorMillis, int turns, int socketEvents) {
         nanos += TimeUnit.MILLISECONDS.toNanos(millis);
         processorNanos += TimeUnit.MILLISECONDS.toNanos(processorMillis);
         for (int i = 0; i < turns; i++) {
@@ -32,8 +33,8 @@
     }
 
     @Test
-    void aLoopThatSpinsIsLogged() {
-        pass(1000, 700, 40_000, 2);
+    void logsSpinningLoop() {
+        advance(1000, 700, 40_000, 2);
         assertEquals(
                 List.of("event loop busy without cause: 700 ms of processor time in 1000 ms, 40000 turns, "
                         + "2 socket events"),
@@ -41,32 +42,32 @@
     }
 
     @Test
-    void oneLineInTenSecondsIsEnough() {
+    void logsOncePerTenSeconds() {
         for (int second = 0; second < 10; second++) {
-            pass(1000, 900, 50_000, 0);
+            advance(1000, 900, 50_000, 0);
         }
         assertEquals(1, log.size());
-        pass(1000, 900, 50_000, 0);
+        advance(1000, 900, 50_000, 0);
         assertEquals(2, log.size());
     }
 
     @Test
-    void aLoopThatHasWorkOrRestsIsNot() {
-        pass(1000, 900, 300, 200);
-        pass(1000, 400, 50_000, 0);
+    void ignoresLoopWithSocketEventsOrLowUsage() {
+        advance(1000, 900, 300, 200);
+        advance(1000, 400, 50_000, 0);
         assertEquals(List.of(), log);
     }
 
     @Test
-    void aLateCheckIsJudgedByTheTimeThatPassed() {
-        pass(4000, 1500, 3, 0);
+    void scalesThresholdsToElapsedTime() {
+        advance(4000, 1500, 3, 0);
         assertEquals(0, log.size());
-        pass(4000, 2500, 3, 19);
+        advance(4000, 2500, 3, 19);
         assertEquals(1, log.size());
     }
 
     @Test
-    void processorTimeThatIsNotKnownIsNoReason() {
+    void ignoresUnknownProcessorTime() {
         processorNanos = ThreadProcessorTime.UNKNOWN;
         detector.run();
         nanos += TimeUnit.SECONDS.toNanos(1);
--- a/src/test/java/loadbalancer/eventloop/CoarseTimerIoHandlerTest.java
+++ b/src/test/java/loadbalancer/eventloop/CoarseTimerIoHandlerTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** A loop that waits for its next timer must sleep, and not poll its sockets until the timer is due. */
+/** A loop that waits for its next timer sleeps and does not poll its sockets. */
 class CoarseTimerIoHandlerTest {
     private static final int TIMERS = 200;
-    /** A turn in which a timer is due, one that sets the next one, and the sweeps of a sidecar in between. */
-    private static final int TURNS_PER_TIMER = 4;
-    /** Somewhat over three milliseconds: what is left of it takes every value below a millisecond. */
+    /** A turn that runs the timer, one that sets the next, and the periodic sweeps of a sidecar in between. */
+    private static final int MAX_TURNS_PER_TIMER = 4;
+    /** No multiple of a millisecond, so that the remaining delays take every fraction of one. */
     private static final long TIMER_NANOS = 3_370_000;
 
     private final LoopActivity activity = new LoopActivity();
@@ -28,20 +28,20 @@
     }
 
     @Test
-    void aLoopWithNothingButTimersTakesAFewTurnsForEach() throws Exception {
-        assertTrue(turnsOfTimers(loop, activity) <= TIMERS * TURNS_PER_TIMER);
+    void idleLoopTakesFewTurnsPerTimer() throws Exception {
+        assertTrue(turnsOfTimers(loop, activity) <= TIMERS * MAX_TURNS_PER_TIMER);
     }
 
     @Test
-    void anIdleSidecarTakesAFewTurnsForEachTimer() throws Exception {
-        try (TestSidecar node = new TestSidecar("127.0.0.1:1")) {
-            long turns = turnsOfTimers(node.group.next(), node.activity);
-            assertTrue(turns <= TIMERS * TURNS_PER_TIMER, turns + " turns");
+    void idleSidecarTakesFewTurnsPerTimer() throws Exception {
+        try (TestSidecar sidecar = new TestSidecar("127.0.0.1:1")) {
+            long turns = turnsOfTimers(sidecar.group.next(), sidecar.activity);
+            assertTrue(turns <= TIMERS * MAX_TURNS_PER_TIMER, turns + " turns");
         }
     }
 
     @Test
-    void aWaitIsRoundedUpToWholeMilliseconds() {
+    void roundsDelayUpToWholeMilliseconds() {
         assertEquals(1_000_000, CoarseTimerIoHandler.roundUp(1));
         assertEquals(1_000_000, CoarseTimerIoHandler.roundUp(499_999));
         assertEquals(1_000_000, CoarseTimerIoHandler.roundUp(1_000_000));
@@ -49,25 +49,25 @@
     }
 
     @Test
-    void whatIsDueOrNeverIsStaysAsItIs() {
+    void leavesElapsedAndInfiniteDelaysUnchanged() {
         assertEquals(0, CoarseTimerIoHandler.roundUp(0));
         assertEquals(-5, CoarseTimerIoHandler.roundUp(-5));
         assertEquals(Long.MAX_VALUE, CoarseTimerIoHandler.roundUp(Long.MAX_VALUE));
     }
 
-    /** The turns that a loop took while this many timers ran, each set by the one before. */
+    /** Returns the turns that a loop took while {@link #TIMERS} timers ran, each set by the one before. */
     private static long turnsOfTimers(EventLoop loop, LoopActivity activity) throws Exception {
         CountDownLatch done = new CountDownLatch(TIMERS);
         long before = loop.submit(activity::turns).get();
-        loop.execute(() -> next(loop, done));
+        loop.execute(() -> runTimer(loop, done));
         assertTrue(done.await(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
         return loop.submit(activity::turns).get() - before;
     }
 
-    private static void next(EventLoop loop, CountDownLatch done) {
+    private static void runTimer(EventLoop loop, CountDownLatch done) {
         done.countDown();
         if (done.getCount() > 0) {
-            loop.schedule(() -> next(loop, done), TIMER_NANOS, TimeUnit.NANOSECONDS);
+            loop.schedule(() -> runTimer(loop, done), TIMER_NANOS, TimeUnit.NANOSECONDS);
         }
     }
 }
--- /dev/null
+++ b/src/test/java/loadbalancer/lifecycle/ProgramProcess.java
@@ -0,0 +1,139 @@
+package loadbalancer.lifecycle;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.Callable;
+import java.util.concurrent.TimeUnit;
+import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.TestClient;
+
+/** The program as a process of its own, which {@link #close} ends by force. */
+public final class ProgramProcess implements AutoCloseable {
+    private static final String CONFIGURATION_VARIABLE = "PROXY_CONFIG";
+    private static final long POLL_INTERVAL_MILLIS = 10;
+
+    private final Process process;
+    private final Path errors;
+
+    private ProgramProcess(Process process, Path errors) {
+        this.process = process;
+        this.errors = errors;
+    }
+
+    /** Starts a process that runs the program, with its standard error going to this file. */
+    public static ProgramProcess start(ProcessBuilder builder, Path errors) throws IOException {
+        return new ProgramProcess(builder.redirectError(errors.toFile()).start(), errors);
+    }
+
+    /**
+     * Starts the program from this test's class path.
+     *
+     * @param configuration the configuration file, or null for none
+     */
+    public static ProgramProcess start(Path errors, Path configuration, String... arguments) throws IOException {
+        return start(builder(List.of(), configuration, arguments), errors);
+    }
+
+    /** Returns what starts the program from this test's class path; without a configuration if it is null. */
+    public static ProcessBuilder builder(List<String> javaOptions, Path configuration, String... arguments) {
+        List<String> command = new ArrayList<>();
+        command.add(java());
+        command.addAll(javaOptions);
+        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "loadbalancer.Main"));
+        command.addAll(List.of(arguments));
+        ProcessBuilder builder = new ProcessBuilder(command);
+        builder.environment().remove(CONFIGURATION_VARIABLE);
+        if (configuration != null) {
+            builder.environment().put(CONFIGURATION_VARIABLE, configuration.toString());
+        }
+        return builder;
+    }
+
+    /** Returns the path of the JVM under test. */
+    static String java() {
+        return Path.of(System.getProperty("java.home"), "bin", "java").toString();
+    }
+
+    /** Returns the port of an address of the form {@code host:port}. */
+    static int port(String address) {
+        return Integer.parseInt(address.substring(address.indexOf(':') + 1));
+    }
+
+    /** Waits for the process to end and returns its exit code. */
+    public int awaitExit() throws InterruptedException {
+        return awaitExit(FakeServer.PATIENCE_S);
+    }
+
+    /** Waits at most this long for the process to end and returns its exit code. */
+    int awaitExit(long maxWaitSeconds) throws InterruptedException {
+        assertTrue(process.waitFor(maxWaitSeconds, TimeUnit.SECONDS), "the process did not end");
+        return process.exitValue();
+    }
+
+    /** Waits until the program accepts a connection at this port, and returns it. */
+    TestClient connect(int port) throws Exception {
+        List<TestClient> connected = new ArrayList<>();
+        await("connection", () -> {
+            try {
+                return connected.add(new TestClient(port));
+            } catch (IOException e) {
+                return false;
+            }
+        });
+        return connected.get(0);
+    }
+
+    /** Waits until a condition is true, as long as the process lives. */
+    void await(String what, Callable<Boolean> condition) throws Exception {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.PATIENCE_S);
+        while (!condition.call()) {
+            if (!process.isAlive() || System.nanoTime() > deadlineNanos) {
+                throw new AssertionError("no " + what + "; " + errorText());
+            }
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
+        }
+    }
+
+    /** Sends a signal such as {@code HUP} and waits until it is sent. */
+    void signal(String name) throws IOException, InterruptedException {
+        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                .start()
+                .waitFor();
+    }
+
+    /** Sends SIGTERM. */
+    void terminate() {
+        process.destroy();
+    }
+
+    /** Returns whether the process has not ended. */
+    boolean isAlive() {
+        return process.isAlive();
+    }
+
+    /** Returns what the process has written to standard error so far. */
+    public String errorText() throws IOException {
+        return Files.readString(errors);
+    }
+
+    /** Returns the lines that the process has written to standard error so far. */
+    public List<String> errorLines() throws IOException {
+        return Files.readAllLines(errors);
+    }
+
+    /** Returns what the process writes to standard output until its end. */
+    public String outputText() throws IOException {
+        return new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    }
+
+    @Override
+    public void close() {
+        process.destroyForcibly();
+    }
+}
