--- a/src/main/java/loadbalancer/eventloop/CoarseTimerIoHandler.java
+++ b/src/main/java/loadbalancer/eventloop/CoarseTimerIoHandler.java
@@ -44,7 +44,7 @@
         };
     }
 
-    /** Returns the delay in nanoseconds, rounded up to whole milliseconds; one that is zero or negative is unchanged. */
+    /** Returns the delay in nanoseconds, rounded up to whole milliseconds; zero and below are unchanged. */
     static long roundUp(long delayNanos) {
         if (delayNanos <= 0 || delayNanos > Long.MAX_VALUE - NANOS_PER_MILLI) {
             return delayNanos;
--- a/src/main/java/loadbalancer/lifecycle/ConfigurationReload.java
+++ b/src/main/java/loadbalancer/lifecycle/ConfigurationReload.java
@@ -7,8 +7,8 @@
 import loadbalancer.discovery.DiscoveryClient;
 
 /**
- * Reads the configuration again, as SIGHUP requests, and takes discovery's address from it; every other setting stays as
- * it was at the start. An invalid file changes nothing, because a typing error must not end a running sidecar.
+ * Reads the configuration again, as SIGHUP requests, and takes discovery's address from it; every other setting stays
+ * as it was at the start. An invalid file changes nothing, because a typing error must not end a running sidecar.
  */
 public final class ConfigurationReload implements Runnable {
     private final String path;
--- a/src/main/java/loadbalancer/lifecycle/TrainingReloadScenarios.java
+++ b/src/main/java/loadbalancer/lifecycle/TrainingReloadScenarios.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 
-/** The configuration reloads of the {@link ClassArchiveTraining}: to working and failing discoveries, and a bad file. */
+/** The configuration reloads of the {@link ClassArchiveTraining}: working and failing discoveries, and a bad file. */
 final class TrainingReloadScenarios {
     private static final String UNAVAILABLE = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
@@ -16,7 +16,7 @@
         this.discovery = discovery;
     }
 
-    /** Moves discovery to a server that answers with an error, to one that refuses connections, and to a working one. */
+    /** Moves discovery to a server that responds with an error, one that refuses connections, and a working one. */
     void play() throws IOException, InterruptedException, ReflectiveOperationException {
         TrainingServer unavailable = new TrainingServer(UNAVAILABLE);
         TrainingServer working = TrainingDiscovery.newServer();
--- a/src/test/java/loadbalancer/lifecycle/ArchivedSidecar.java
+++ b/src/test/java/loadbalancer/lifecycle/ArchivedSidecar.java
@@ -116,12 +116,12 @@
     void sendUntilReceived(RequestKind kind, FakeServer endpoint) throws IOException {
         int received = endpoint.requests.size();
         for (int i = 0; i < MAX_TRIES && endpoint.requests.size() == received; i++) {
-            ask(kind);
+            exchange(kind);
         }
     }
 
     /** Sends a request of this kind on a new connection and returns its response; keeps the watch alive. */
-    TestClient.Answer ask(RequestKind kind) throws IOException {
+    TestClient.Answer exchange(RequestKind kind) throws IOException {
         discovery.send("\n");
         try (TestClient client = connect()) {
             return client.ask(kind.newRequest());
--- a/src/test/java/loadbalancer/lifecycle/ClassArchiveTest.java
+++ b/src/test/java/loadbalancer/lifecycle/ClassArchiveTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The class archive, made and used by the commands of the deploy file: a turn of the event loop that meets something for
- * the first time must not load classes from the jar.
+ * The class archive, made and used by the commands of the deploy file: a turn of the event loop that meets something
+ * for the first time must not load classes from the jar.
  */
 class ClassArchiveTest {
     private static final int MAX_TRAINING_SECONDS = 240;
     private static final String FROM_ARCHIVE = "source: shared objects file";
-    /** How many classes loaded before one outside of the archive are shown, which tell where it was needed. */
+    /** How many classes loaded before one outside of the archive are shown, to identify where it was needed. */
     private static final int CONTEXT_LINES = 4;
 
     @TempDir
--- a/src/test/java/loadbalancer/lifecycle/RarePathScenarios.java
+++ b/src/test/java/loadbalancer/lifecycle/RarePathScenarios.java
@@ -105,9 +105,9 @@
         for (RequestKind kind : ALL_KINDS) {
             int status = 200;
             for (int i = 0; i < ArchivedSidecar.MAX_TRIES && status == 200; i++) {
-                status = sidecar.ask(kind).status();
+                status = sidecar.exchange(kind).status();
             }
-            sidecar.ask(kind);
+            sidecar.exchange(kind);
         }
     }
 
