--- a/src/main/java/loadbalancer/protocol/Decimals.java
+++ b/src/main/java/loadbalancer/protocol/Decimals.java
@@ -6,24 +6,24 @@
 import java.util.regex.Pattern;
 
 /**
- * Numbers as peers write and read them: plain decimals only, for Java alone would also take {@code 1d} or
+ * Reads and writes the protocol's numbers: plain decimals only, where Java by itself would also accept {@code 1d} or
  * {@code 0x1p3}.
  */
 public final class Decimals {
-    private static final Pattern PLAIN = Pattern.compile("[0-9]{1,12}(\\.[0-9]{1,12})?");
+    private static final Pattern PLAIN_DECIMAL = Pattern.compile("[0-9]{1,12}(\\.[0-9]{1,12})?");
 
-    private static final int PLACES = 3;
-    private static final int SCALE = 1000;
-    /** Below it, how far a product with {@link #SCALE} is off lies well within {@link #CLOSE}. */
-    private static final double MAX_PLAIN = 1e9;
-    /** So close to a half, the decimal digits of the number itself tell which way it is rounded. */
-    private static final double CLOSE = 1e-3;
+    private static final int DECIMAL_PLACES = 3;
+    private static final int THOUSANDTHS_PER_UNIT = 1000;
+    /** Below it, the rounding error of a number's thousandths is far less than {@link #HALF_TOLERANCE}. */
+    private static final double MAX_FAST_VALUE = 1e9;
+    /** Within it around a half, the decimal digits of the number itself decide which way it is rounded. */
+    private static final double HALF_TOLERANCE = 1e-3;
 
     private Decimals() {}
 
-    /** The number, or NaN if it is malformed or over {@code max}. */
+    /** The number, or NaN if it is malformed or greater than {@code max}. */
     public static double parse(String text, double max) {
-        if (!PLAIN.matcher(text).matches()) {
+        if (!PLAIN_DECIMAL.matcher(text).matches()) {
             return Double.NaN;
         }
         double value = Double.parseDouble(text);
@@ -31,30 +31,33 @@
     }
 
     /**
-     * What {@code String.format(Locale.ROOT, "%.3f", value)} makes of it. A formatter takes some 3
-     * microseconds, for a header that each attempt has.
+     * Formats a number as {@code String.format(Locale.ROOT, "%.3f", value)} does, without a formatter, which takes
+     * some 3 microseconds: each attempt has a header of this form.
      */
     public static String formatThousandths(double value) {
-        if (Double.compare(value, 0) < 0 || !(value < MAX_PLAIN)) {
+        if (Double.compare(value, 0) < 0 || !(value < MAX_FAST_VALUE)) {
             return String.format(Locale.ROOT, "%.3f", value);
         }
-        double scaled = value * SCALE;
-        long n = (long) scaled;
-        double beyondHalf = scaled - n - 0.5;
-        if (Math.abs(beyondHalf) < CLOSE) {
-            n = new BigDecimal(Double.toString(value))
-                    .movePointRight(PLACES)
-                    .setScale(0, RoundingMode.HALF_UP)
-                    .longValueExact();
-        } else if (beyondHalf > 0) {
-            n++;
-        }
-        // With a leading 1, whose place the point then takes, the zeros after the point are there.
-        String fraction = Long.toString(SCALE + n % SCALE);
+        long thousandths = roundToThousandths(value);
+        // The leading 1 keeps the zeros behind the point; the point is put in its place.
+        String fraction = Long.toString(THOUSANDTHS_PER_UNIT + thousandths % THOUSANDTHS_PER_UNIT);
         return new StringBuilder()
-                .append(n / SCALE)
+                .append(thousandths / THOUSANDTHS_PER_UNIT)
                 .append('.')
                 .append(fraction, 1, fraction.length())
                 .toString();
     }
+
+    private static long roundToThousandths(double value) {
+        double scaled = value * THOUSANDTHS_PER_UNIT;
+        long truncated = (long) scaled;
+        double beyondHalf = scaled - truncated - 0.5;
+        if (Math.abs(beyondHalf) < HALF_TOLERANCE) {
+            return new BigDecimal(Double.toString(value))
+                    .movePointRight(DECIMAL_PLACES)
+                    .setScale(0, RoundingMode.HALF_UP)
+                    .longValueExact();
+        }
+        return beyondHalf > 0 ? truncated + 1 : truncated;
+    }
 }
--- a/src/main/java/loadbalancer/upstream/EndpointAttempt.java
+++ b/src/main/java/loadbalancer/upstream/EndpointAttempt.java
@@ -1,71 +1,90 @@
 package loadbalancer.upstream;
 
+import io.netty.channel.Channel;
 import io.netty.handler.codec.http.FullHttpRequest;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.LoadReport;
 
-/** One request under way to one endpoint. */
+/** One attempt to send a request to one endpoint. It completes once: by an outcome or by {@link #abort}. */
 public final class EndpointAttempt {
-    /** Is told once how an attempt ended, unless it was given up first. */
+    /** Provides the request of an attempt and receives its outcome. */
     public interface Listener {
-        /** What to send, asked for right before the first byte; null if by now nothing may be sent. */
+        /** The request, called for right before its first byte is written; null if it must not be sent any more. */
         FullHttpRequest request();
 
-        /** The outcome, with the answer if it was served and the load report if one came. */
-        void attemptEnded(AttemptOutcome outcome, UpstreamResponse answer, LoadReport report);
+        /**
+         * Called once when the attempt has ended, unless it was aborted before.
+         *
+         * @param response the response if the outcome is a success, else null
+         * @param report the load report if a valid one came, else null
+         */
+        void attemptEnded(AttemptOutcome outcome, UpstreamResponse response, LoadReport report);
     }
 
     private final Listener listener;
-    private EndpointConnection connection;
-    private boolean over;
+    private Channel channel;
+    private boolean requestWritten;
+    private boolean completed;
 
-    /** An attempt that nothing was sent for. */
+    /** An attempt for which nothing has been sent. */
     EndpointAttempt(Listener listener) {
         this.listener = listener;
     }
 
-    /** True once it has ended or was given up. */
-    boolean over() {
-        return over;
+    /** True once it has ended or was aborted. */
+    boolean completed() {
+        return completed;
     }
 
-    /** What to send, or null if by now nothing may be sent. */
+    /** The request, or null if it must not be sent any more. */
     FullHttpRequest request() {
         return listener.request();
     }
 
-    /** Notes the connection that its request is being written to. */
-    void startedOn(EndpointConnection used) {
-        connection = used;
+    /** Records the channel that the request is being written to. */
+    void writingTo(Channel used) {
+        channel = used;
     }
 
-    /** Tells its listener how it ended, unless it was over before. */
-    void end(AttemptOutcome outcome, UpstreamResponse answer, LoadReport report) {
-        if (!over) {
-            over = true;
-            listener.attemptEnded(outcome, answer, report);
+    /** Records that the last byte of the request has been written. */
+    void markRequestWritten() {
+        requestWritten = true;
+    }
+
+    /** Ends the attempt without a response, unless it has completed before. */
+    void end(AttemptOutcome outcome) {
+        end(outcome, null, null);
+    }
+
+    /** Ends the attempt and reports its outcome to the listener, unless it has completed before. */
+    void end(AttemptOutcome outcome, UpstreamResponse response, LoadReport report) {
+        if (!completed) {
+            completed = true;
+            listener.attemptEnded(outcome, response, report);
         }
     }
 
-    /** True once the endpoint may have had the whole request, so that it may run. */
+    /** True once the endpoint may have received the complete request, so that it may execute it. */
     public boolean requestWritten() {
-        return connection != null && connection.requestWritten();
+        return requestWritten;
     }
 
     /**
-     * Gives up the attempt by closing its connection; its listener hears no more. True if the endpoint
-     * may have had the whole request, so that it may run.
+     * Aborts the attempt by closing its connection; the listener is not called any more.
+     *
+     * @return true if the endpoint may have received the complete request, or if the attempt had completed before
      */
     public boolean abort() {
-        if (over) {
+        if (completed) {
             return true;
         }
-        over = true;
-        if (connection == null) {
+        completed = true;
+        if (channel == null) {
             return false;
         }
-        boolean written = requestWritten();
-        connection.close();
+        // Read before the close, which may complete a pending write.
+        boolean written = requestWritten;
+        channel.close();
         return written;
     }
 }
--- a/src/main/java/loadbalancer/upstream/EndpointConnection.java
+++ b/src/main/java/loadbalancer/upstream/EndpointConnection.java
@@ -14,92 +14,80 @@
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.util.concurrent.Future;
-import java.util.concurrent.TimeUnit;
 import loadbalancer.eventloop.Clock;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.protocol.HeaderNames;
 
 /**
- * One connection to an endpoint and the attempt on it, if any. It writes one request at a time, reads its answer and
- * judges what came: an answer that is spoilt, stalls or is followed by more ends the connection.
+ * One connection to an endpoint. It writes one request at a time and reads its response; a response that is malformed,
+ * stalls or is followed by surplus bytes ends the connection.
+ *
+ * <p>Between two exchanges a connection is quarantined, then idle. Any byte that comes then closes it and suspends the
+ * reuse of all connections.
  */
-final class EndpointConnection extends SimpleChannelInboundHandler<HttpObject> {
-    /** An answer that has begun and brings nothing for so long will not end. */
-    private static final double STALL_MS = 500;
-
-    private final EndpointPool pool;
-    private final EventLoop loop;
+final class EndpointConnection extends SimpleChannelInboundHandler<HttpObject> implements StallDetector.Listener {
+    private final ConnectionReuse reuse;
     private final Clock clock;
     private final PooledEndpoint endpoint;
+    private final StallDetector stallDetector;
     private final EndpointResponseDecoder decoder = new EndpointResponseDecoder();
     private final ResponseAssembler response = new ResponseAssembler();
     private Channel channel;
-    private EndpointAttempt attempt;
+    /** Null while no request is being processed on this connection. */
+    private Exchange exchange;
+
     private boolean used;
-    private boolean written;
-    private boolean whole;
-    private boolean surplus;
     /** A read returned end of stream, and no call on the socket had failed before. */
     private boolean streamEnded;
 
-    private double readAt;
-    private Future<?> stall;
-    private double idleSince;
-    private double idleFor;
+    private double idleSinceMillis;
 
-    /** A connection that has no channel yet. */
-    EndpointConnection(EndpointPool pool, EventLoop loop, Clock clock, PooledEndpoint endpoint) {
-        this.pool = pool;
-        this.loop = loop;
+    /** A connection to this endpoint that has no channel yet. */
+    EndpointConnection(ConnectionReuse reuse, EventLoop loop, Clock clock, PooledEndpoint endpoint) {
+        this.reuse = reuse;
         this.clock = clock;
         this.endpoint = endpoint;
+        this.stallDetector = new StallDetector(loop, clock, this);
     }
 
-    /** Connects it to its channel, which may not be up yet. */
-    void channel(Channel connecting) {
+    /** Sets its channel, which may not be connected yet. */
+    void setChannel(Channel connecting) {
         channel = connecting;
     }
 
+    /** Adds its handlers to the pipeline of its channel. */
+    void addTo(ChannelPipeline pipeline) {
+        pipeline.addLast(new RawBytesHandler(), decoder, new HttpRequestEncoder(), this);
+    }
+
     /** True while requests can be written. */
     boolean active() {
         return channel.isActive();
     }
 
-    /** Closes the connection; an attempt on it ends as broken, unless it was given up before. */
-    void close() {
-        channel.close();
-    }
-
     /** True once a request has been written, even in part. */
     boolean used() {
         return used;
     }
 
-    /** True once the last byte of the request on it has been written. */
-    boolean requestWritten() {
-        return written;
-    }
-
-    /** When it last became idle, by the clock. */
-    double idleSince() {
-        return idleSince;
+    /** When it last became idle, in milliseconds by the clock; 0 if it never was. */
+    double idleSinceMillis() {
+        return idleSinceMillis;
     }
 
-    /** Sets up the pipeline of its channel. */
-    void addTo(ChannelPipeline pipeline) {
-        pipeline.addLast(new Bytes(), decoder, new HttpRequestEncoder(), this);
+    /** Closes the connection; an attempt on it ends as failed, unless it was aborted before. */
+    void close() {
+        channel.close();
     }
 
     /**
-     * Stands before the decoder. Guards against an answer to nobody: a second copy, or noise, must not wait here for
-     * the next request. And notes the end of the stream before the decoder makes the end of a response of it.
+     * Stands before the decoder: it drops bytes that no request called for, which must not wait for the next request,
+     * and sees the end of the stream before the decoder makes the end of a response of it.
      */
-    private final class Bytes extends ChannelInboundHandlerAdapter {
-        // Only a read that returned end of stream or failed brings this event. A failure is told first, and closes
-        // the channel, as does a write that fails; a close of our own brings no such event.
+    private final class RawBytesHandler extends ChannelInboundHandlerAdapter {
+        // Only a read that returned end of stream or failed causes this event. A failed read or write has closed the
+        // channel before; a close of our own causes no such event.
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event instanceof ChannelInputShutdownEvent) {
@@ -110,165 +98,151 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            if (attempt == null || attempt.over()) {
-                ((ByteBuf) message).release();
-                if (attempt == null) {
-                    pool.distrust();
-                }
-                ctx.close();
-            } else {
-                readAt = clock.now();
+            if (exchangeActive()) {
+                exchange.recordRead(clock.now());
                 ctx.fireChannelRead(message);
+                return;
+            }
+            ((ByteBuf) message).release();
+            if (exchange == null) {
+                reuse.suspendReuse();
             }
+            ctx.close();
         }
     }
 
+    // False also for an exchange whose attempt was aborted, until its connection has closed.
+    private boolean exchangeActive() {
+        return exchange != null && !exchange.attempt().completed();
+    }
+
     /**
-     * Sends the attempt's request, unless that is no longer wanted: while its connection came up the request may have
-     * ended, or the endpoint may have drained, moved or been started anew.
+     * Sends the request of this attempt, unless that is no longer wanted: while the connection was being established,
+     * the attempt may have completed or the endpoint may have been retired.
      */
-    void begin(EndpointAttempt next) {
-        FullHttpRequest request = next.over() || endpoint.ended() ? null : next.request();
+    void begin(EndpointAttempt attempt) {
+        FullHttpRequest request = attempt.completed() || endpoint.retired() ? null : attempt.request();
         if (request != null) {
-            write(next, request);
+            write(attempt, request);
             return;
         }
-        // Nothing was sent. The endpoint has paid for the connection, so the next request has it.
+        // Nothing was sent, so the connection is still new and the next request can use it.
         release();
-        next.end(AttemptOutcome.CONNECT_FAILED, null, null);
+        attempt.end(AttemptOutcome.CONNECT_FAILED);
     }
 
-    private void write(EndpointAttempt next, FullHttpRequest request) {
-        attempt = next;
+    private void write(EndpointAttempt attempt, FullHttpRequest request) {
+        double idleMillis = idleSinceMillis > 0 ? clock.now() - idleSinceMillis : 0;
+        exchange = new Exchange(attempt, idleMillis);
         used = true;
-        next.startedOn(this);
-        written = false;
-        whole = false;
-        surplus = false;
-        readAt = 0;
-        idleFor = idleSince > 0 ? clock.now() - idleSince : 0;
+        attempt.writingTo(channel);
         response.reset();
-        channel.writeAndFlush(request).addListener(f -> {
-            if (f.isSuccess()) {
-                written = true;
+        channel.writeAndFlush(request).addListener(write -> {
+            if (write.isSuccess()) {
+                attempt.markRequestWritten();
             } else {
-                spoilt();
+                closeFailed();
             }
         });
     }
 
-    /** Keeps the connection for the next request, or closes it where it may not be used again. */
+    /** Makes the connection idle for the next request, or closes it if it must not be used again. */
     void release() {
-        if (channel.isActive() && !endpoint.ended() && (pool.trusted() || !used)) {
-            idleSince = clock.now();
+        if (channel.isActive() && !endpoint.retired() && (reuse.reuseAllowed() || !used)) {
+            idleSinceMillis = clock.now();
             endpoint.addIdle(this);
         } else {
             channel.close();
         }
     }
 
-    // A break before the last byte was written proves that nothing ran, a later one proves nothing.
-    private void broken() {
-        if (attempt == null) {
+    private void closeFailed() {
+        channel.close();
+        failExchange();
+    }
+
+    // A failure before the last byte was written proves that nothing was executed, a later one proves nothing.
+    private void failExchange() {
+        if (exchange == null) {
             return;
         }
-        EndpointAttempt ended = attempt;
-        attempt = null;
-        if (!ended.over() && readAt == 0) {
-            endpoint.closedAfterIdle(idleFor);
+        Exchange failed = exchange;
+        EndpointAttempt attempt = failed.attempt();
+        exchange = null;
+        if (!attempt.completed() && !failed.bytesReceived()) {
+            endpoint.recordClosedAfterIdle(failed.idleMillisBefore());
         }
-        ended.end(written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED, null, null);
-    }
-
-    // What comes spoilt has run, perhaps, and the connection is of no further use.
-    private void spoilt() {
-        channel.close();
-        broken();
+        attempt.end(attempt.requestWritten() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-        // Behind a whole answer anything may follow in the same pass; the end of the pass settles it.
-        if (attempt == null || whole) {
-            surplus = true;
+        if (exchange == null) {
+            return;
+        }
+        // The end of the read decides what becomes of the connection.
+        if (exchange.responseComplete()) {
+            exchange.markSurplusReceived();
             return;
         }
-        // A server that ends the stream before it has had the whole request answers something else.
-        ResponseAssembler.State state = response.add(message, streamEnded && written);
-        if (state == ResponseAssembler.State.UNUSABLE) {
-            spoilt();
+        // An endpoint that ends the stream before it has received the complete request doesn't answer that request.
+        boolean endedInOrder = streamEnded && exchange.attempt().requestWritten();
+        ResponseAssembler.State state = response.add(message, endedInOrder);
+        if (state == ResponseAssembler.State.MALFORMED) {
+            closeFailed();
             return;
         }
-        whole = state == ResponseAssembler.State.COMPLETE;
+        if (state == ResponseAssembler.State.COMPLETE) {
+            exchange.markResponseComplete();
+        }
         if (message instanceof LastHttpContent) {
-            decoder.answerEnded();
+            decoder.responseEnded();
         }
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (attempt == null || attempt.over()) {
+        if (!exchangeActive()) {
             return;
         }
-        if (whole) {
-            finish();
-        } else if (stall == null && decoder.holdsMore()) {
-            // Guards against an answer that begins and never ends, on a connection that stays open.
-            watchForStall(attempt, STALL_MS);
+        if (exchange.responseComplete()) {
+            completeExchange();
+        } else if (decoder.hasPartialResponse()) {
+            stallDetector.watch(exchange);
         }
     }
 
-    private void watchForStall(EndpointAttempt watched, double wait) {
-        stall = loop.schedule(
-                () -> {
-                    stall = null;
-                    double left = readAt + STALL_MS - clock.now();
-                    if (attempt != watched || watched.over()) {
-                        return;
-                    }
-                    if (left > 0) {
-                        watchForStall(watched, left);
-                    } else {
-                        spoilt();
-                    }
-                },
-                (long) Math.ceil(wait),
-                TimeUnit.MILLISECONDS);
+    @Override
+    public void responseStalled() {
+        closeFailed();
     }
 
-    private void finish() {
-        EndpointAttempt done = attempt;
-        attempt = null;
-        if (stall != null) {
-            stall.cancel(false);
-            stall = null;
-        }
-        if (written && response.allowsReuse() && !surplus && !decoder.holdsMore()) {
-            pool.rest(this);
+    private void completeExchange() {
+        Exchange completed = exchange;
+        exchange = null;
+        stallDetector.stop();
+        if (allowsReuse(completed)) {
+            reuse.quarantine(this);
         } else {
             channel.close();
         }
         HttpResponse head = response.head();
-        AttemptOutcome outcome = outcome(head);
         HttpHeaders headers = head.headers();
-        UpstreamResponse answer = outcome == AttemptOutcome.SUCCESS
+        AttemptOutcome outcome = ResponseClassifier.classify(head);
+        UpstreamResponse success = outcome == AttemptOutcome.SUCCESS
                 ? new UpstreamResponse(response.body(), headers.get(HttpHeaderNames.CONTENT_TYPE))
                 : null;
-        done.end(outcome, answer, LoadReportParser.parse(headers.getAll(HeaderNames.SERVER_LOAD)));
+        completed.attempt().end(outcome, success, LoadReportParser.parse(headers.getAll(HeaderNames.SERVER_LOAD)));
     }
 
-    private static AttemptOutcome outcome(HttpResponse head) {
-        HttpResponseStatus status = head.status();
-        if (status.equals(HttpResponseStatus.OK)) {
-            return AttemptOutcome.SUCCESS;
-        }
-        boolean turnedAway = (status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
-                        || status.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
-                && "1".equals(head.headers().get(HeaderNames.NOT_STARTED));
-        return turnedAway ? AttemptOutcome.REJECTED : AttemptOutcome.ERROR;
+    private boolean allowsReuse(Exchange completed) {
+        return completed.attempt().requestWritten()
+                && response.allowsReuse()
+                && !completed.surplusReceived()
+                && !decoder.hasPartialResponse();
     }
 
-    // The decoder has made of the end what it could: nothing more will come, whether or not an answer was whole.
+    // The decoder has seen the end of the stream before: nothing more will come, complete or not.
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
         if (event instanceof ChannelInputShutdownEvent) {
@@ -279,7 +253,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         endpoint.removeIdle(this);
-        broken();
+        failExchange();
     }
 
     @Override
--- a/src/main/java/loadbalancer/upstream/EndpointPool.java
+++ b/src/main/java/loadbalancer/upstream/EndpointPool.java
@@ -6,7 +6,6 @@
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
@@ -17,62 +16,56 @@
 import loadbalancer.policy.EndpointStatus;
 
 /**
- * Connections to endpoints, each with one request at a time, and what became of each attempt. It sends what
- * it is told once and never again. Everything here runs on the one event loop.
+ * Pools connections to all endpoints. Each attempt is sent at most once, on a connection of its own while it lasts; the
+ * pool never retries. Everything here runs on the one event loop.
  */
 public final class EndpointPool {
-    /** Of the endpoint's own idle limit: a request must never cross the endpoint's closing. */
-    private static final double IDLE_SHARE = 0.75;
+    /** Tuned: fraction of an endpoint's idle limit, so that no request meets a connection being closed by it. */
+    private static final double IDLE_LIMIT_FRACTION = 0.75;
 
-    private static final long SWEEP_MS = 1000;
-    /** How long a connection rests after an answer, for a second one behind it to show itself. */
-    private static final long REST_MS = 30;
-    /**
-     * How long no connection is used twice after a second answer has come: once the next request is written,
-     * nothing tells a late one from the answer that is waited for, however long a connection rested before.
-     */
-    private static final double DISTRUST_MS = 30_000;
+    private static final long SWEEP_INTERVAL_MILLIS = 1000;
 
     private final EventLoop loop;
     private final Clock clock;
     private final Bootstrap bootstrap;
-    private final double idleLimit;
-    private final int maxOpen;
+    private final double maxIdleMillis;
+    private final int maxConnections;
+    private final ConnectionQuarantine quarantine;
     private final Map<String, PooledEndpoint> endpoints = new HashMap<>();
-    private final ArrayDeque<EndpointConnection> resting = new ArrayDeque<>();
-    private int open;
-    private double distrustUntil = Double.NEGATIVE_INFINITY;
+    private int openConnections;
 
     /**
-     * A pool.
+     * A pool that knows no endpoint.
      *
-     * @param channels the kind of connections
-     * @param endpointIdle milliseconds after which an endpoint closes an idle connection
-     * @param maxOpen connections open at once to all endpoints together
+     * @param channels the class of channels that it connects
+     * @param connectTimeoutMillis milliseconds after which a connection attempt fails
+     * @param endpointIdleMillis milliseconds after which an endpoint closes an idle connection
+     * @param maxConnections connections open at once to all endpoints together
      */
     public EndpointPool(
             EventLoop loop,
             Class<? extends Channel> channels,
             Clock clock,
-            int connectTimeout,
-            double endpointIdle,
-            int maxOpen) {
+            int connectTimeoutMillis,
+            double endpointIdleMillis,
+            int maxConnections) {
         this.loop = loop;
         this.clock = clock;
-        this.idleLimit = endpointIdle * IDLE_SHARE;
-        this.maxOpen = maxOpen;
+        this.maxIdleMillis = endpointIdleMillis * IDLE_LIMIT_FRACTION;
+        this.maxConnections = maxConnections;
+        this.quarantine = new ConnectionQuarantine(loop, clock);
         this.bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(channels)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeout)
-                // Has the end of a stream told by an event of its own; else it can't be told from other closes.
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis)
+                // Reports the end of a stream by an event of its own, which distinguishes it from other closes.
                 .option(ChannelOption.ALLOW_HALF_CLOSURE, true);
-        loop.scheduleAtFixedRate(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(this::sweep, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Takes in the list. What drains, is gone, has moved or was started anew ends as an endpoint here, for good:
-     * its idle connections close, and none that comes up later or is still in use takes anything new.
+     * Applies an endpoint list. An endpoint that is draining or removed, has moved or has restarted is retired: its
+     * idle connections close, and those in use or being established take no further request.
      */
     public void update(EndpointList list) {
         Map<String, PooledEndpoint> before = new HashMap<>(endpoints);
@@ -82,25 +75,29 @@
         for (EndpointList.Entry entry : list.entries()) {
             String id = entry.endpoint().id();
             if (entry.endpoint().status() == EndpointStatus.READY) {
-                PooledEndpoint e = before.get(id);
-                endpoints.put(id, e != null && e.is(entry) ? e : new PooledEndpoint(entry, idleLimit));
+                PooledEndpoint known = before.get(id);
+                boolean unchanged = known != null && known.matches(entry);
+                endpoints.put(id, unchanged ? known : new PooledEndpoint(entry, maxIdleMillis));
             } else {
                 endpoints.remove(id);
             }
         }
-        before.forEach((id, e) -> {
-            if (endpoints.get(id) != e) {
-                e.end();
+        before.forEach((id, endpoint) -> {
+            if (endpoints.get(id) != endpoint) {
+                endpoint.retire();
             }
         });
     }
 
-    /** Sends a request to an endpoint after a fresh look at the sockets, or tells the listener why it can't. */
-    public EndpointAttempt send(String id, EndpointAttempt.Listener listener) {
+    /**
+     * Sends a request to an endpoint after the loop's next select. If that is impossible, the listener gets an outcome
+     * that proves it, at once for an unknown endpoint.
+     */
+    public EndpointAttempt send(String endpointId, EndpointAttempt.Listener listener) {
         EndpointAttempt attempt = new EndpointAttempt(listener);
-        PooledEndpoint endpoint = endpoints.get(id);
+        PooledEndpoint endpoint = endpoints.get(endpointId);
         if (endpoint == null) {
-            attempt.end(AttemptOutcome.NOT_SENT, null, null);
+            attempt.end(AttemptOutcome.NOT_SENT);
         } else {
             SelectBarrier.runAfterSelect(loop, () -> begin(endpoint, attempt));
         }
@@ -108,23 +105,23 @@
     }
 
     private void begin(PooledEndpoint endpoint, EndpointAttempt attempt) {
-        if (attempt.over()) {
+        if (attempt.completed()) {
             return;
         }
-        EndpointConnection idle = endpoint.ended() ? null : endpoint.takeIdle(clock.now(), trusted());
+        EndpointConnection idle = endpoint.retired() ? null : endpoint.takeIdle(clock.now(), quarantine.reuseAllowed());
         if (idle != null) {
             idle.begin(attempt);
-        } else if (!endpoint.ended() && (open < maxOpen || closeOldestIdle())) {
+        } else if (!endpoint.retired() && (openConnections < maxConnections || closeOldestUnused())) {
             connect(endpoint, attempt);
         } else {
-            // Guards against running out of descriptors: nothing was sent, and the module may go elsewhere.
-            attempt.end(AttemptOutcome.CONNECT_FAILED, null, null);
+            // Nothing was sent, so that the policy may choose another endpoint.
+            attempt.end(AttemptOutcome.CONNECT_FAILED);
         }
     }
 
     private void connect(PooledEndpoint endpoint, EndpointAttempt attempt) {
-        EndpointConnection connection = new EndpointConnection(this, loop, clock, endpoint);
-        open++;
+        EndpointConnection connection = new EndpointConnection(quarantine, loop, clock, endpoint);
+        openConnections++;
         ChannelFuture connecting = bootstrap
                 .clone()
                 .handler(new ChannelInitializer<>() {
@@ -135,52 +132,26 @@
                 })
                 .connect(endpoint.address());
         Channel channel = connecting.channel();
-        connection.channel(channel);
-        // Either way after a fresh look, and on the loop: where no descriptor is left, another thread tells so.
-        connecting.addListener(f -> {
-            if (f.isSuccess()) {
-                channel.closeFuture().addListener(closed -> open--);
+        connection.setChannel(channel);
+        // Without a free descriptor Netty completes this on another thread; the barrier returns to the loop.
+        connecting.addListener(connect -> {
+            if (connect.isSuccess()) {
+                channel.closeFuture().addListener(closed -> openConnections--);
             }
-            SelectBarrier.runAfterSelect(loop, () -> connected(connection, attempt, f.isSuccess()));
+            SelectBarrier.runAfterSelect(loop, () -> connectEnded(connection, attempt, connect.isSuccess()));
         });
     }
 
-    private void connected(EndpointConnection connection, EndpointAttempt attempt, boolean up) {
-        if (up) {
+    private void connectEnded(EndpointConnection connection, EndpointAttempt attempt, boolean connected) {
+        if (connected) {
             connection.begin(attempt);
         } else {
-            // Guards against counting for ever what never was: there is no channel whose end would tell.
-            open--;
-            attempt.end(AttemptOutcome.CONNECT_FAILED, null, null);
+            // A channel that was never connected has no close that would count it down.
+            openConnections--;
+            attempt.end(AttemptOutcome.CONNECT_FAILED);
         }
     }
 
-    /** True if connections may carry a second request. */
-    boolean trusted() {
-        return clock.now() >= distrustUntil;
-    }
-
-    /** A second answer has come where none was due: no connection is used twice for a while. */
-    void distrust() {
-        distrustUntil = clock.now() + DISTRUST_MS;
-    }
-
-    /**
-     * Lets a connection rest after an answer and releases it then. Guards against bytes that follow a little later,
-     * which would answer the next request: the loop reads whatever has come before it runs the release, so that a
-     * connection rests, however late the loop.
-     */
-    void rest(EndpointConnection connection) {
-        resting.addLast(connection);
-        loop.schedule(
-                () -> {
-                    resting.remove(connection);
-                    connection.release();
-                },
-                REST_MS,
-                TimeUnit.MILLISECONDS);
-    }
-
     private void sweep() {
         double now = clock.now();
         for (PooledEndpoint endpoint : endpoints.values()) {
@@ -188,20 +159,21 @@
         }
     }
 
-    private boolean closeOldestIdle() {
+    // Idle connections of all endpoints first, then quarantined ones; false if there are neither.
+    private boolean closeOldestUnused() {
         PooledEndpoint oldest = null;
-        double since = Double.POSITIVE_INFINITY;
+        double idleSinceMillis = Double.POSITIVE_INFINITY;
         for (PooledEndpoint endpoint : endpoints.values()) {
-            if (endpoint.oldestIdleSince() < since) {
+            if (endpoint.oldestIdleSinceMillis() < idleSinceMillis) {
                 oldest = endpoint;
-                since = endpoint.oldestIdleSince();
+                idleSinceMillis = endpoint.oldestIdleSinceMillis();
             }
         }
-        EndpointConnection victim = oldest == null ? resting.pollFirst() : oldest.takeOldestIdle();
-        if (victim == null) {
+        EndpointConnection unused = oldest == null ? quarantine.takeOldest() : oldest.takeOldestIdle();
+        if (unused == null) {
             return false;
         }
-        victim.close();
+        unused.close();
         return true;
     }
 }
--- a/src/main/java/loadbalancer/upstream/EndpointResponseDecoder.java
+++ b/src/main/java/loadbalancer/upstream/EndpointResponseDecoder.java
@@ -4,17 +4,17 @@
 import io.netty.handler.codec.http.HttpResponseDecoder;
 import io.netty.util.AsciiString;
 
-/** Guards against answers that Netty by itself would make something of, as another reader would not. */
+/** A response decoder that rejects what Netty's would accept and another reader would understand differently. */
 final class EndpointResponseDecoder extends HttpResponseDecoder {
-    private boolean begun;
+    private boolean responseBegun;
 
-    // It would drop the length and believe the chunks.
+    // Netty would drop Content-Length and use the chunks.
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
         throw new IllegalArgumentException("both Content-Length and Transfer-Encoding");
     }
 
-    // It would take a line without a colon for a name, and noise in the head for an answer.
+    // Netty would take a line without a colon for a header name.
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (start + length >= line.length || line[start + length] != ':') {
@@ -25,17 +25,17 @@
 
     @Override
     protected HttpMessage createMessage(String[] initialLine) {
-        begun = true;
+        responseBegun = true;
         return super.createMessage(initialLine);
     }
 
-    /** True if the first line of an answer has come, or a part of it. */
-    boolean holdsMore() {
-        return begun || actualReadableBytes() > 0;
+    /** True if the status line of a response has come, or any undecoded byte. */
+    boolean hasPartialResponse() {
+        return responseBegun || actualReadableBytes() > 0;
     }
 
-    /** What comes from now on belongs to another answer. */
-    void answerEnded() {
-        begun = false;
+    /** The response has ended: whatever comes from now on belongs to another one. */
+    void responseEnded() {
+        responseBegun = false;
     }
 }
--- a/src/main/java/loadbalancer/upstream/PooledEndpoint.java
+++ b/src/main/java/loadbalancer/upstream/PooledEndpoint.java
@@ -5,54 +5,56 @@
 import loadbalancer.discovery.EndpointList;
 
 /**
- * An endpoint on the list and its idle connections. Once it has ended it stays so: an endpoint that comes back, has
- * moved or was started anew is another one.
+ * An endpoint on the list and its idle connections. Once retired it stays so: an endpoint that comes back, has moved or
+ * has restarted is another one.
  */
 final class PooledEndpoint {
-    /** No endpoint is taken to close connections that have been idle for less. */
-    private static final double MIN_IDLE_LIMIT_MS = 50;
-    /** Of the idle time after which an endpoint was found to have closed a connection. */
-    private static final double IDLE_LIMIT_CUT = 0.5;
-    /** What a sweep adds again to a limit that was cut. */
-    private static final double IDLE_LIMIT_REGAIN = 1.2;
+    /** Tuned: no endpoint is assumed to close connections that have been idle for less. */
+    private static final double MIN_IDLE_LIMIT_MILLIS = 50;
+    /** Tuned: fraction of the idle time after which an endpoint was found to have closed a connection. */
+    private static final double IDLE_LIMIT_REDUCTION = 0.5;
+    /** Tuned: growth of a reduced limit at each sweep. */
+    private static final double IDLE_LIMIT_GROWTH = 1.2;
 
     /** The longest idle first. */
     private final ArrayDeque<EndpointConnection> idle = new ArrayDeque<>();
 
     private final SocketAddress address;
-    private final double startedAt;
-    private final double maxIdleLimit;
-    private double idleLimit;
-    private boolean ended;
+    private final double startedAtMillis;
+    private final double maxIdleMillis;
+    private double idleLimitMillis;
+    private boolean retired;
 
     /**
      * An endpoint without connections.
      *
-     * @param idleLimit milliseconds for which an idle connection may still be used
+     * @param maxIdleMillis how long an idle connection may still be used
      */
-    PooledEndpoint(EndpointList.Entry entry, double idleLimit) {
+    PooledEndpoint(EndpointList.Entry entry, double maxIdleMillis) {
         this.address = entry.address();
-        this.startedAt = entry.endpoint().startedAtMillis();
-        this.maxIdleLimit = idleLimit;
-        this.idleLimit = idleLimit;
+        this.startedAtMillis = entry.endpoint().startedAtMillis();
+        this.maxIdleMillis = maxIdleMillis;
+        this.idleLimitMillis = maxIdleMillis;
     }
 
     SocketAddress address() {
         return address;
     }
 
-    /** True if this is the same process at the same place, as far as the list tells. */
-    boolean is(EndpointList.Entry entry) {
-        return address.equals(entry.address()) && startedAt == entry.endpoint().startedAtMillis();
+    /** True if the list names the same process at the same address. */
+    boolean matches(EndpointList.Entry entry) {
+        return address.equals(entry.address())
+                && startedAtMillis == entry.endpoint().startedAtMillis();
     }
 
-    boolean ended() {
-        return ended;
+    /** True if nothing new may be sent to it. */
+    boolean retired() {
+        return retired;
     }
 
-    /** Nothing new is sent to it from now on. */
-    void end() {
-        ended = true;
+    /** Closes its idle connections and lets nothing new be sent to it. */
+    void retire() {
+        retired = true;
         for (EndpointConnection connection : idle) {
             connection.close();
         }
@@ -68,45 +70,48 @@
     }
 
     /** Since when its longest idle connection has been idle, or positive infinity if it has none. */
-    double oldestIdleSince() {
-        return idle.isEmpty() ? Double.POSITIVE_INFINITY : idle.peekFirst().idleSince();
+    double oldestIdleSinceMillis() {
+        return idle.isEmpty() ? Double.POSITIVE_INFINITY : idle.peekFirst().idleSinceMillis();
     }
 
-    /** Takes out the connection that has been idle for the longest, or null. */
+    /** Removes the connection that has been idle for the longest, or returns null. */
     EndpointConnection takeOldestIdle() {
         return idle.pollFirst();
     }
 
     /**
-     * An idle connection to use, or null. It is the one used last, so that those beyond need grow old and are closed.
+     * Removes an idle connection for use, or returns null. It is the one used last, so that surplus connections reach
+     * the idle limit and are closed.
      *
-     * @param reuse true if a connection may carry a second request
+     * @param reuseAllowed true if a connection may carry a second request
      */
-    EndpointConnection takeIdle(double now, boolean reuse) {
+    EndpointConnection takeIdle(double nowMillis, boolean reuseAllowed) {
         EndpointConnection connection = idle.pollLast();
-        while (connection != null && !usable(connection, now, reuse)) {
+        while (connection != null && !usable(connection, nowMillis, reuseAllowed)) {
             connection.close();
             connection = idle.pollLast();
         }
         return connection;
     }
 
-    private boolean usable(EndpointConnection connection, double now, boolean reuse) {
-        return connection.active() && connection.idleSince() >= now - idleLimit && (reuse || !connection.used());
+    private boolean usable(EndpointConnection connection, double nowMillis, boolean reuseAllowed) {
+        return connection.active()
+                && connection.idleSinceMillis() >= nowMillis - idleLimitMillis
+                && (reuseAllowed || !connection.used());
     }
 
-    /** Closes what has been idle for too long. */
-    void sweep(double now) {
-        idleLimit = Math.min(maxIdleLimit, idleLimit * IDLE_LIMIT_REGAIN);
-        while (!idle.isEmpty() && idle.peekFirst().idleSince() < now - idleLimit) {
+    /** Closes the connections that have been idle for too long, and lets a reduced idle limit grow again. */
+    void sweep(double nowMillis) {
+        idleLimitMillis = Math.min(maxIdleMillis, idleLimitMillis * IDLE_LIMIT_GROWTH);
+        while (!idle.isEmpty() && idle.peekFirst().idleSinceMillis() < nowMillis - idleLimitMillis) {
             idle.pollFirst().close();
         }
     }
 
-    /** Learns from a request that met a closed connection how long this endpoint keeps idle ones. */
-    void closedAfterIdle(double idleFor) {
-        if (idleFor > MIN_IDLE_LIMIT_MS) {
-            idleLimit = Math.max(MIN_IDLE_LIMIT_MS, idleFor * IDLE_LIMIT_CUT);
+    /** Reduces the idle limit after a request met a connection that the endpoint had closed. */
+    void recordClosedAfterIdle(double idleMillis) {
+        if (idleMillis > MIN_IDLE_LIMIT_MILLIS) {
+            idleLimitMillis = Math.max(MIN_IDLE_LIMIT_MILLIS, idleMillis * IDLE_LIMIT_REDUCTION);
         }
     }
 }
--- a/src/main/java/loadbalancer/upstream/ResponseAssembler.java
+++ b/src/main/java/loadbalancer/upstream/ResponseAssembler.java
@@ -15,38 +15,32 @@
 import loadbalancer.protocol.ProtocolLimits;
 
 /**
- * Assembles one response from decoded parts and judges whether it is whole.
+ * Assembles one response from decoded parts and determines whether it is complete.
  *
  * <p>A response ends where its framing says so (RFC 9112, section 6.3): after its last chunk, at its stated length, or,
  * with neither, with its connection. The decoder reports the last kind as ended after every kind of close, so the
- * caller has to say whether the server really ended the stream: a reset is no end.
+ * caller has to say whether the endpoint really ended the stream: a reset does not end a response.
  */
-public final class ResponseAssembler {
+final class ResponseAssembler {
     /** What is known of the response so far. */
     enum State {
         /** More has to come. */
         INCOMPLETE,
-        /** It is whole. */
+        /** Nothing is missing. */
         COMPLETE,
-        /** It can't be passed on, whatever follows. */
-        UNUSABLE
+        /** It is malformed, too long or cut off, and can't be passed on, whatever follows. */
+        MALFORMED
     }
 
-    /** Interim responses ahead of the final one; more are not meant to end. */
+    /** Interim responses ahead of the final one; a bound of our own, the protocol has none. */
     private static final int MAX_INTERIM_RESPONSES = 8;
 
-    private static final String PROTOCOL = "HTTP/1.";
-    /** A status line up to its code: the protocol, a digit, a space and three digits. */
-    private static final int MIN_STATUS_LINE = PROTOCOL.length() + 5;
-    /** Header lines of a second head that are looked at. */
-    private static final int MAX_HEADER_LINES = 32;
-
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private HttpResponse head;
     private int interimResponses;
     private boolean endsWithConnection;
 
-    /** Forgets everything; the next part belongs to another response. */
+    /** Discards everything; the next part belongs to another response. */
     void reset() {
         body.reset();
         head = null;
@@ -70,24 +64,25 @@
     }
 
     /**
-     * Takes in the next part.
+     * Adds the next part.
      *
-     * @param streamEnded true if the server has ended the stream in order, so that no byte can be missing
+     * @param streamEnded true if the endpoint has ended the stream in order, so that no byte can be missing
+     * @return the state of the response with this part
      */
     State add(HttpObject part, boolean streamEnded) {
         if (part.decoderResult().isFailure()) {
-            return State.UNUSABLE;
+            return State.MALFORMED;
         }
         if (part instanceof HttpResponse response && !begin(response)) {
-            return State.UNUSABLE;
+            return State.MALFORMED;
         }
         if (part instanceof HttpContent content && !append(content.content())) {
-            return State.UNUSABLE;
+            return State.MALFORMED;
         }
         return part instanceof LastHttpContent ? end(streamEnded) : State.INCOMPLETE;
     }
 
-    // False for a framing that can't be relied on, for a body that is too long, and for interim responses without end.
+    // False for ambiguous framing, a body that is too long, and too many interim responses.
     private boolean begin(HttpResponse response) {
         head = response;
         if (isInterim()) {
@@ -120,8 +115,8 @@
             head = null;
             return State.INCOMPLETE;
         }
-        if (endsWithConnection && (!streamEnded || holdsSecondResponse())) {
-            return State.UNUSABLE;
+        if (endsWithConnection && (!streamEnded || containsSecondResponse())) {
+            return State.MALFORMED;
         }
         return State.COMPLETE;
     }
@@ -130,50 +125,11 @@
         return head.status().codeClass() == HttpStatusClass.INFORMATIONAL;
     }
 
-    private static boolean mayHaveBody(HttpResponseStatus status) {
-        return !status.equals(HttpResponseStatus.NO_CONTENT) && !status.equals(HttpResponseStatus.NOT_MODIFIED);
+    private boolean containsSecondResponse() {
+        return ResponseHeadScanner.containsHead(body.toString(StandardCharsets.ISO_8859_1));
     }
 
-    // Without a length, a second response behind the first would pass for a part of its body.
-    private boolean holdsSecondResponse() {
-        String text = body.toString(StandardCharsets.ISO_8859_1);
-        for (int at = text.indexOf(PROTOCOL); at >= 0; at = text.indexOf(PROTOCOL, at + 1)) {
-            if (isHead(text, at)) {
-                return true;
-            }
-        }
-        return false;
-    }
-
-    // A status line, header lines and an empty line: prose may have the first of these alone.
-    private static boolean isHead(String text, int from) {
-        int end = text.indexOf('\n', from);
-        if (end < from + MIN_STATUS_LINE || !isStatusLine(text, from)) {
-            return false;
-        }
-        for (int i = 0; i <= MAX_HEADER_LINES; i++) {
-            int start = end + 1;
-            end = text.indexOf('\n', start);
-            if (end < 0) {
-                return false;
-            }
-            String line = text.substring(start, end).stripTrailing();
-            if (line.isEmpty()) {
-                return true;
-            }
-            if (line.indexOf(':') <= 0) {
-                return false;
-            }
-        }
-        return false;
-    }
-
-    private static boolean isStatusLine(String text, int from) {
-        int code = from + PROTOCOL.length() + 2;
-        return Character.isDigit(text.charAt(code - 2))
-                && text.charAt(code - 1) == ' '
-                && Character.isDigit(text.charAt(code))
-                && Character.isDigit(text.charAt(code + 1))
-                && Character.isDigit(text.charAt(code + 2));
+    private static boolean mayHaveBody(HttpResponseStatus status) {
+        return !status.equals(HttpResponseStatus.NO_CONTENT) && !status.equals(HttpResponseStatus.NOT_MODIFIED);
     }
 }
