--- a/src/test/java/loadbalancer/protocol/DecimalsTest.java
+++ b/src/test/java/loadbalancer/protocol/DecimalsTest.java
@@ -9,7 +9,7 @@
 /** Numbers as they are written to peers. */
 class DecimalsTest {
     @Test
-    void thousandthsAreThoseOfAFormatter() {
+    void formatsThousandthsLikeFormatter() {
         for (double value : new double[] {
             0,
             -0.0,
@@ -32,24 +32,24 @@
             Double.NaN,
             Double.POSITIVE_INFINITY
         }) {
-            same(value);
+            assertFormattedLikeFormatter(value);
         }
     }
 
     @Test
-    void thousandthsOfChanceNumbersAndOfHalvesAndTheirNeighboursAreThoseOfAFormatter() {
+    void formatsRandomNumbersAndHalvesLikeFormatter() {
         Random random = new Random(7);
         for (int i = 0; i < 100_000; i++) {
             double half = (random.nextInt(3_600_000) + 0.5) / 1000;
-            same(half);
-            same(Math.nextUp(half));
-            same(Math.nextDown(half));
-            same(random.nextDouble() * 3600);
-            same(random.nextDouble() * Math.pow(10, random.nextInt(13) - 3));
+            assertFormattedLikeFormatter(half);
+            assertFormattedLikeFormatter(Math.nextUp(half));
+            assertFormattedLikeFormatter(Math.nextDown(half));
+            assertFormattedLikeFormatter(random.nextDouble() * 3600);
+            assertFormattedLikeFormatter(random.nextDouble() * Math.pow(10, random.nextInt(13) - 3));
         }
     }
 
-    private static void same(double value) {
+    private static void assertFormattedLikeFormatter(double value) {
         assertEquals(String.format(Locale.ROOT, "%.3f", value), Decimals.formatThousandths(value), () -> "of " + value);
     }
 }
--- a/src/test/java/loadbalancer/upstream/EndpointPoolTest.java
+++ b/src/test/java/loadbalancer/upstream/EndpointPoolTest.java
@@ -12,9 +12,7 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.List;
-import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
@@ -25,13 +23,15 @@
 import loadbalancer.policy.EndpointStatus;
 import loadbalancer.policy.LoadReport;
 import loadbalancer.testing.FakeServer;
+import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The pool when there are no descriptors left, and when more comes than an answer. */
+/** The pool when there are no descriptors left, and when surplus bytes follow a response. */
 public class EndpointPoolTest {
+    /** True while no socket can be created; static because Netty creates the channels by their class. */
     public static final AtomicBoolean EXHAUSTED = new AtomicBoolean();
 
-    /** A socket that can't be made while there are no descriptors. */
+    /** A socket that can't be created while there are no descriptors. */
     public static final class ScarceChannel extends NioSocketChannel {
         /** A socket, if there is a descriptor for it. */
         public ScarceChannel() {
@@ -41,77 +41,79 @@
         }
     }
 
+    private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
+
+    @AfterEach
+    void stopLoop() {
+        EXHAUSTED.set(false);
+        loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
+    }
+
     @Test
-    void runningOutOfDescriptorsProvesThatNothingRanAndPasses() throws Exception {
-        EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-        try (FakeServer e = new FakeServer((r, w) -> w.ok("done"))) {
-            // Room for one connection only, so that one wrongly counted as open would be one too many.
+    void failsConnectWithoutDescriptorsAndRecovers() throws Exception {
+        try (FakeServer endpoint = new FakeServer((request, wire) -> wire.ok("done"))) {
+            // Only one connection, so that one wrongly counted as open would be one too many.
             EndpointPool pool = new EndpointPool(loop, ScarceChannel.class, new Clock(), 1000, 60000, 1);
-            loop.submit(() -> pool.update(new EndpointList(
-                            1,
-                            true,
-                            List.of(new EndpointList.Entry(
-                                    new Endpoint("s", EndpointStatus.READY, 1, "a", 0, 0),
-                                    EndpointList.address(e.address()))))))
-                    .get();
+            addEndpoint(pool, endpoint);
             EXHAUSTED.set(true);
             for (int i = 0; i < 3; i++) {
-                assertEquals(AttemptOutcome.CONNECT_FAILED, send(loop, pool));
+                assertEquals(AttemptOutcome.CONNECT_FAILED, send(pool));
             }
             EXHAUSTED.set(false);
-            assertEquals(AttemptOutcome.SUCCESS, send(loop, pool));
-            assertEquals(1, e.requests.size());
-        } finally {
-            loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
+            assertEquals(AttemptOutcome.SUCCESS, send(pool));
+            assertEquals(1, endpoint.requests.size());
         }
     }
 
     @Test
-    void onceASecondAnswerHasComeNoConnectionIsUsedTwiceForAWhile() throws Exception {
-        EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-        BlockingQueue<FakeServer.Wire> wires = new LinkedBlockingQueue<>();
+    void suspendsReuseAfterSurplusResponse() throws Exception {
+        CapturingScript script = new CapturingScript();
         AtomicLong nanos = new AtomicLong(1);
-        try (FakeServer e = new FakeServer((r, w) -> wires.add(w))) {
+        try (FakeServer endpoint = new FakeServer(script)) {
             EndpointPool pool = new EndpointPool(loop, NioSocketChannel.class, new Clock(nanos::get), 1000, 600_000, 9);
-            loop.submit(() -> pool.update(new EndpointList(
-                            1,
-                            true,
-                            List.of(new EndpointList.Entry(
-                                    new Endpoint("s", EndpointStatus.READY, 1, "a", 0, 0),
-                                    EndpointList.address(e.address()))))))
-                    .get();
-            CompletableFuture<AttemptOutcome> first = begin(loop, pool);
-            CompletableFuture<AttemptOutcome> second = begin(loop, pool);
-            FakeServer.Wire one = wires.take();
-            one.ok("done");
-            wires.take().ok("done");
+            addEndpoint(pool, endpoint);
+            CompletableFuture<AttemptOutcome> first = begin(pool);
+            CompletableFuture<AttemptOutcome> second = begin(pool);
+            FakeServer.Wire wire = script.awaitWire();
+            wire.ok("done");
+            script.awaitWire().ok("done");
             assertEquals(AttemptOutcome.SUCCESS, first.get(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
             assertEquals(AttemptOutcome.SUCCESS, second.get(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
-            one.ok("again");
-            e.awaitEnd();
-            e.script((r, w) -> w.ok("done"));
-            // Whether the other connection is at rest by now, idle, or gone.
+            wire.ok("again");
+            endpoint.awaitEnd();
+            endpoint.script((request, next) -> next.ok("done"));
+            // Whether the other connection is quarantined by now, idle, or closed.
             for (int i = 3; i < 30; i++) {
-                assertEquals(AttemptOutcome.SUCCESS, send(loop, pool));
-                assertEquals(i, e.connections());
-                Thread.sleep(4);
+                assertEquals(AttemptOutcome.SUCCESS, send(pool));
+                assertEquals(i, endpoint.connections());
+                letTimersRun(4);
             }
             nanos.addAndGet(TimeUnit.SECONDS.toNanos(30));
-            for (int i = 0; e.requests.size() == e.connections() && i < 2000; i++) {
-                assertEquals(AttemptOutcome.SUCCESS, send(loop, pool));
-                Thread.sleep(1);
+            for (int i = 0; endpoint.requests.size() == endpoint.connections() && i < 2000; i++) {
+                assertEquals(AttemptOutcome.SUCCESS, send(pool));
+                letTimersRun(1);
             }
-            assertTrue(e.requests.size() > e.connections(), "used again after that");
-        } finally {
-            loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
+            assertTrue(endpoint.requests.size() > endpoint.connections(), "used again after that");
         }
     }
 
-    private static AttemptOutcome send(EventLoop loop, EndpointPool pool) throws Exception {
-        return begin(loop, pool).get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
+    // Spreads the requests over the quarantine, whose timers run on the same loop.
+    private void letTimersRun(long millis) throws Exception {
+        loop.schedule(() -> {}, millis, TimeUnit.MILLISECONDS).get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
+    }
+
+    private void addEndpoint(EndpointPool pool, FakeServer endpoint) throws Exception {
+        EndpointList.Entry entry = new EndpointList.Entry(
+                new Endpoint("s", EndpointStatus.READY, 1, "a", 0, 0), EndpointList.address(endpoint.address()));
+        loop.submit(() -> pool.update(new EndpointList(1, true, List.of(entry))))
+                .get();
+    }
+
+    private AttemptOutcome send(EndpointPool pool) throws Exception {
+        return begin(pool).get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
     }
 
-    private static CompletableFuture<AttemptOutcome> begin(EventLoop loop, EndpointPool pool) {
+    private CompletableFuture<AttemptOutcome> begin(EndpointPool pool) {
         CompletableFuture<AttemptOutcome> ended = new CompletableFuture<>();
         loop.execute(() -> pool.send("s", new EndpointAttempt.Listener() {
             @Override
@@ -120,7 +122,7 @@
             }
 
             @Override
-            public void attemptEnded(AttemptOutcome outcome, UpstreamResponse answer, LoadReport report) {
+            public void attemptEnded(AttemptOutcome outcome, UpstreamResponse response, LoadReport report) {
                 ended.complete(outcome);
             }
         }));
--- a/src/test/java/loadbalancer/upstream/FailingSystemCallTest.java
+++ b/src/test/java/loadbalancer/upstream/FailingSystemCallTest.java
@@ -21,19 +21,22 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** System calls that fail in ways that Linux documents: what has run, what is answered, and that no loop spins. */
+/**
+ * System calls that fail in ways that Linux documents: what may have been executed, what is answered, and that the loop
+ * does not spin.
+ */
 class FailingSystemCallTest {
-    private static final FakeServer.Script OK = (r, w) -> w.ok("done");
+    private static final FakeServer.Script OK = (request, wire) -> wire.ok("done");
     private static final int MAX_ATTEMPTS = 6;
-    private static final int ASKED = 50;
+    private static final int REQUESTS = 50;
     private static final long MAX_TURNS = 400;
 
     @AfterEach
-    void mend() {
+    void stopFailing() {
         FailingSocket.fail(FailingSocket.Call.NONE, "");
     }
 
-    private static TestSidecar node(String... endpoints) throws Exception {
+    private static TestSidecar sidecar(String... endpoints) throws Exception {
         return new TestSidecar(
                 TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024, endpoints), FailingSocket.class);
     }
@@ -49,32 +52,31 @@
         "WRITE, No buffer space available",
         "WRITE, Broken pipe"
     })
-    void beforeTheLastByteIsWrittenNothingRanAndEachRequestCostsAFewCalls(FailingSocket.Call call, String how)
-            throws Exception {
-        try (FakeServer e = new FakeServer(OK);
-                FakeServer f = new FakeServer(OK);
-                TestSidecar n = node(e.address(), f.address());
-                TestClient c = n.client()) {
-            FailingSocket.fail(call, how);
-            for (int i = 0; i < ASKED; i++) {
-                assertEquals(503, c.ask(TestClient.submit("50")).status());
+    void rejectsRequestWhenConnectOrWriteFails(FailingSocket.Call call, String message) throws Exception {
+        try (FakeServer endpoint = new FakeServer(OK);
+                FakeServer otherEndpoint = new FakeServer(OK);
+                TestSidecar sidecar = sidecar(endpoint.address(), otherEndpoint.address());
+                TestClient client = sidecar.client()) {
+            FailingSocket.fail(call, message);
+            for (int i = 0; i < REQUESTS; i++) {
+                assertEquals(503, client.ask(TestClient.submit("50")).status());
             }
             assertTrue(FailingSocket.FAILED.get() > 0);
-            assertTrue(FailingSocket.FAILED.get() <= ASKED * MAX_ATTEMPTS, "failed " + FailingSocket.FAILED);
-            assertEquals(0, e.requests.size() + f.requests.size());
-            n.await(() -> n.sidecar.pendingCount() == 0);
+            assertTrue(FailingSocket.FAILED.get() <= REQUESTS * MAX_ATTEMPTS, "failed " + FailingSocket.FAILED);
+            assertEquals(0, endpoint.requests.size() + otherEndpoint.requests.size());
+            sidecar.await(() -> sidecar.sidecar.pendingCount() == 0);
             FailingSocket.fail(FailingSocket.Call.NONE, "");
-            assertServedAgain(n, c);
+            assertServedAgain(sidecar, client);
         }
     }
 
-    // The endpoints' percentages have risen and fall while the clock runs on.
-    private static void assertServedAgain(TestSidecar n, TestClient c) throws Exception {
+    // The endpoints' drop percentages have risen; they fall as the clock advances.
+    private static void assertServedAgain(TestSidecar sidecar, TestClient client) throws Exception {
         int status = 0;
         for (int i = 0; status != 200 && i < 2000; i++) {
-            n.advance(100);
-            n.turn();
-            status = c.ask(TestClient.submit("50")).status();
+            sidecar.advance(100);
+            sidecar.turn();
+            status = client.ask(TestClient.submit("50")).status();
         }
         assertEquals(200, status);
     }
@@ -87,17 +89,17 @@
                 "No buffer space available",
                 "Connection timed out"
             })
-    void anAcceptThatFailsLeavesTheListenerAndMakesNoLoop(String how) throws Exception {
-        try (FakeServer e = new FakeServer(OK);
-                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address())) {
-            long before = n.call(() -> {
-                n.listener.pipeline().fireExceptionCaught(new IOException(how));
-                return n.activity.turns();
+    void keepsListeningAfterFailedAccept(String message) throws Exception {
+        try (FakeServer endpoint = new FakeServer(OK);
+                TestSidecar sidecar = new TestSidecar(FakeServer.refusing(), endpoint.address())) {
+            long before = sidecar.call(() -> {
+                sidecar.listener.pipeline().fireExceptionCaught(new IOException(message));
+                return sidecar.activity.turns();
             });
-            try (TestClient c = n.client()) {
-                assertEquals(200, c.ask(TestClient.submit("50")).status());
+            try (TestClient client = sidecar.client()) {
+                assertEquals(200, client.ask(TestClient.submit("50")).status());
             }
-            long turns = n.call(n.activity::turns) - before;
+            long turns = sidecar.call(sidecar.activity::turns) - before;
             assertTrue(turns < MAX_TURNS, "made " + turns + " turns");
         }
     }
@@ -115,39 +117,33 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"Connection timed out", "No route to host", "Connection reset"})
-    void aClientWhoseConnectionBreaksHasLeft(String how) throws Exception {
+    void endsRequestOfClientWithBrokenConnection(String message) throws Exception {
         Accepted accepted = new Accepted();
-        try (FakeServer e = new FakeServer((r, w) -> {});
-                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address())) {
-            n.call(() -> n.listener.pipeline().addFirst(accepted));
-            try (TestClient c = n.client()) {
-                c.send(TestClient.submit("50"));
-                e.awaitRequest();
+        try (FakeServer endpoint = new FakeServer((request, wire) -> {});
+                TestSidecar sidecar = new TestSidecar(FakeServer.refusing(), endpoint.address())) {
+            sidecar.call(() -> sidecar.listener.pipeline().addFirst(accepted));
+            try (TestClient client = sidecar.client()) {
+                client.send(TestClient.submit("50"));
+                endpoint.awaitRequest();
                 Channel broken = accepted.channels.take();
-                n.call(() -> broken.pipeline().fireExceptionCaught(new IOException(how)));
-                e.awaitEnd();
-                n.await(() -> n.sidecar.pendingCount() == 0 && n.server.connections() == 0);
+                sidecar.call(() -> broken.pipeline().fireExceptionCaught(new IOException(message)));
+                endpoint.awaitEnd();
+                sidecar.await(() -> sidecar.sidecar.pendingCount() == 0 && sidecar.server.connections() == 0);
             }
-            assertEquals(1, e.requests.size());
+            assertEquals(1, endpoint.requests.size());
         }
     }
 
     @Test
-    void aRequestThatIsWrittenInManyShortWritesArrivesWhole() throws Exception {
-        try (FakeServer e = new FakeServer(OK);
-                TestSidecar n = new TestSidecar(
-                        TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024, e.address()),
+    void sendsCompleteRequestInShortWrites() throws Exception {
+        try (FakeServer endpoint = new FakeServer(OK);
+                TestSidecar sidecar = new TestSidecar(
+                        TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024, endpoint.address()),
                         CrossingTest.NarrowSocket.class);
-                TestClient c = n.client()) {
+                TestClient client = sidecar.client()) {
             String body = "x".repeat(ProtocolLimits.MAX_BODY_BYTES);
-            assertEquals(
-                    200,
-                    c.ask(TestClient.submit("50")
-                                    .replace(
-                                            "Content-Length: 3\r\n\r\nabc",
-                                            "Content-Length: " + body.length() + "\r\n\r\n" + body))
-                            .status());
-            assertEquals(body.length(), e.awaitRequest().body().length);
+            assertEquals(200, client.ask(TestRequests.submitWithBody(body)).status());
+            assertEquals(body.length(), endpoint.awaitRequest().body().length);
         }
     }
 }
--- a/src/test/java/loadbalancer/upstream/LoadReportParserTest.java
+++ b/src/test/java/loadbalancer/upstream/LoadReportParserTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.List;
 import loadbalancer.policy.LoadReport;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -27,16 +28,22 @@
                 "util=0.5,",
                 "util=0.5;qps=3"
             })
-    void aMalformedLoadReportIsNone(String text) {
+    void rejectsMalformedReport(String text) {
         assertNull(LoadReportParser.parse(text));
     }
 
     @Test
-    void aLoadReportIsReadAndUnknownFieldsIgnored() {
-        LoadReport r = LoadReportParser.parse("util=0.61,qps=140,eps=0.5,other=3");
-        assertEquals(0.61, r.utilization());
-        assertEquals(140, r.requestsPerSecond());
-        assertEquals(0.5, r.errorsPerSecond());
-        assertTrue(Double.isNaN(r.inFlight()));
+    void ignoresRepeatedHeader() {
+        assertNull(LoadReportParser.parse(List.of("util=0.5", "util=0.5")));
+        assertNull(LoadReportParser.parse(List.of()));
+    }
+
+    @Test
+    void parsesReportAndIgnoresUnknownFields() {
+        LoadReport report = LoadReportParser.parse("util=0.61,qps=140,eps=0.5,other=3");
+        assertEquals(0.61, report.utilization());
+        assertEquals(140, report.requestsPerSecond());
+        assertEquals(0.5, report.errorsPerSecond());
+        assertTrue(Double.isNaN(report.inFlight()));
     }
 }
--- a/src/test/java/loadbalancer/upstream/RandomEndingsTest.java
+++ b/src/test/java/loadbalancer/upstream/RandomEndingsTest.java
@@ -22,13 +22,13 @@
 
 /**
  * Responses without a length in pieces of any size, each of which ends in order or by a reset, to many clients at once:
- * those that were whole are served with their own body, and no others.
+ * those that were complete are served with their own body, and no others.
  */
 class RandomEndingsTest {
     private static final int CLIENTS = 8;
     private static final int REQUESTS_EACH = 60;
     private static final int MAX_PIECES = 5;
-    private static final int MAX_PIECE = 3000;
+    private static final int MAX_PIECE_LENGTH = 3000;
 
     private enum Ending {
         CLOSE,
@@ -42,13 +42,13 @@
     private final Map<String, Sent> sent = new ConcurrentHashMap<>();
     private final AtomicInteger served = new AtomicInteger();
 
-    private void answer(long seed, FakeServer.Request request, FakeServer.Wire wire) throws IOException {
+    private void respond(long seed, FakeServer.Request request, FakeServer.Wire wire) throws IOException {
         String id = request.headers().get("request-id");
         Random random = new Random(seed ^ id.hashCode());
         List<String> pieces = new ArrayList<>(List.of("HTTP/1.1 200 OK\r\n", "\r\n"));
         StringBuilder body = new StringBuilder();
         for (int i = random.nextInt(MAX_PIECES); i > 0; i--) {
-            String piece = id + "x".repeat(random.nextInt(MAX_PIECE));
+            String piece = id + "x".repeat(random.nextInt(MAX_PIECE_LENGTH));
             pieces.add(piece);
             body.append(piece);
         }
@@ -64,47 +64,48 @@
         }
     }
 
-    private Void ask(TestSidecar node) throws Exception {
-        try (TestClient client = node.client()) {
+    private Void sendRequests(TestSidecar sidecar) throws Exception {
+        try (TestClient client = sidecar.client()) {
             for (int i = 0; i < REQUESTS_EACH; i++) {
                 String request = TestClient.submit("50");
                 TestClient.Answer answer = client.ask(request);
                 String id = request.replaceAll("(?s).*Request-Id: (\\S+).*", "$1");
-                check(answer, sent.get(id));
+                assertAnswerMatches(sent.get(id), answer);
             }
         }
         return null;
     }
 
-    private void check(TestClient.Answer answer, Sent one) {
-        if (one == null) {
+    private void assertAnswerMatches(Sent response, TestClient.Answer answer) {
+        if (response == null) {
             assertEquals(503, answer.status(), "never sent");
-        } else if (one.ending == Ending.RESET) {
+        } else if (response.ending == Ending.RESET) {
             assertEquals(502, answer.status());
         } else {
             assertEquals(200, answer.status());
-            assertEquals(one.body, answer.body());
+            assertEquals(response.body, answer.body());
             served.incrementAndGet();
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void whatWasWholeIsServedAndNothingElse(long seed) throws Exception {
-        FakeServer.Script script = (r, w) -> answer(seed, r, w);
+    void servesOnlyCompleteResponses(long seed) throws Exception {
+        FakeServer.Script script = (request, wire) -> respond(seed, request, wire);
         ExecutorService clients = Executors.newFixedThreadPool(CLIENTS);
-        try (FakeServer e = new FakeServer(script);
-                FakeServer f = new FakeServer(script);
-                FakeServer g = new FakeServer(script);
-                TestSidecar n = new TestSidecar(FakeServer.refusing(), e.address(), f.address(), g.address())) {
-            List<Future<Void>> asking = new ArrayList<>();
+        try (FakeServer first = new FakeServer(script);
+                FakeServer second = new FakeServer(script);
+                FakeServer third = new FakeServer(script);
+                TestSidecar sidecar =
+                        new TestSidecar(FakeServer.refusing(), first.address(), second.address(), third.address())) {
+            List<Future<Void>> running = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
-                asking.add(clients.submit(() -> ask(n)));
+                running.add(clients.submit(() -> sendRequests(sidecar)));
             }
-            for (Future<Void> one : asking) {
-                one.get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
+            for (Future<Void> client : running) {
+                client.get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
             }
-            n.await(() -> n.sidecar.pendingCount() == 0);
+            sidecar.await(() -> sidecar.sidecar.pendingCount() == 0);
             assertTrue(served.get() > 0);
         } finally {
             clients.shutdownNow();
