--- a/src/main/java/loadbalancer/upstream/EndpointPool.java
+++ b/src/main/java/loadbalancer/upstream/EndpointPool.java
@@ -20,7 +20,7 @@
  * pool never retries. Everything here runs on the one event loop.
  */
 public final class EndpointPool {
-    /** Tuned: fraction of an endpoint's idle limit, so that no request meets a connection being closed by it. */
+    /** Fraction of the endpoints' idle limit in the settings, so that no request meets a connection being closed. */
     private static final double IDLE_LIMIT_FRACTION = 0.75;
 
     private static final long SWEEP_INTERVAL_MILLIS = 1000;
--- a/src/main/java/loadbalancer/upstream/PooledEndpoint.java
+++ b/src/main/java/loadbalancer/upstream/PooledEndpoint.java
@@ -9,11 +9,11 @@
  * has restarted is another one.
  */
 final class PooledEndpoint {
-    /** Tuned: no endpoint is assumed to close connections that have been idle for less. */
+    /** No endpoint is assumed to close connections that have been idle for less; our own choice. */
     private static final double MIN_IDLE_LIMIT_MILLIS = 50;
-    /** Tuned: fraction of the idle time after which an endpoint was found to have closed a connection. */
+    /** Fraction of the idle time after which an endpoint was found to have closed a connection; our own choice. */
     private static final double IDLE_LIMIT_REDUCTION = 0.5;
-    /** Tuned: growth of a reduced limit at each sweep. */
+    /** Growth of a reduced limit at each sweep; our own choice. */
     private static final double IDLE_LIMIT_GROWTH = 1.2;
 
     /** The longest idle first. */
--- a/src/test/java/loadbalancer/upstream/TestRequests.java
+++ b/src/test/java/loadbalancer/upstream/TestRequests.java
@@ -6,7 +6,7 @@
 final class TestRequests {
     private TestRequests() {}
 
-    /** A request of this class: {@code submit} is not idempotent, {@code pay} has a key, {@code status} is idempotent. */
+    /** A request of class {@code submit} (not idempotent), {@code pay} (with a key) or {@code status} (idempotent). */
     static String ofClass(String requestClass, String timeoutSeconds) {
         return switch (requestClass) {
             case "submit" -> TestClient.submit(timeoutSeconds);
