--- a/src/main/java/loadbalancer/lifecycle/TrainingEndpointScenarios.java
+++ b/src/main/java/loadbalancer/lifecycle/TrainingEndpointScenarios.java
@@ -85,8 +85,11 @@
         boolean reached = false;
         for (int i = 0; i < TrainingStep.MAX_TRIES && !silent.hasConnection(); i++) {
             discovery.sendSnapshot(TrainingDiscovery.entry("silent", silent.address(), READY));
-            try (Socket connection = client.open(client.request(TrainingRequestClass.ofRequest(i), "0.900"))) {
+            Socket connection = client.open(client.request(TrainingRequestClass.ofRequest(i), "0.900"));
+            try {
                 reached |= silent.awaitConnection(TrainingStep.PAUSE_MILLIS) != null;
+            } finally {
+                connection.close();
             }
         }
         if (!reached && !silent.hasConnection()) {
