--- a/src/main/java/loadbalancer/upstream/ConnectionQuarantine.java
+++ b/src/main/java/loadbalancer/upstream/ConnectionQuarantine.java
@@ -10,8 +10,8 @@
     /** How long a connection is quarantined; tuned, for surplus responses were seen to come some milliseconds late. */
     private static final long QUARANTINE_MILLIS = 30;
     /**
-     * How long no connection is reused after a surplus response; our own choice. Once the next request is written, a late
-     * surplus response can't be distinguished from the awaited one, however long the quarantine was.
+     * How long no connection is reused after a surplus response; our own choice. Once the next request is written, a
+     * late surplus response can't be distinguished from the awaited one, however long the quarantine was.
      */
     private static final double REUSE_SUSPENSION_MILLIS = 30_000;
 
