--- a/src/main/java/loadbalancer/discovery/EndpointList.java
+++ b/src/main/java/loadbalancer/discovery/EndpointList.java
@@ -16,6 +16,10 @@
  * @param entries the endpoints
  */
 public record EndpointList(long version, boolean snapshot, List<Entry> entries) {
+    /** A list that does not change with the one that it was made from. */
+    public EndpointList {
+        entries = List.copyOf(entries);
+    }
 
     /**
      * An endpoint and where to connect to it.
@@ -47,7 +51,7 @@
         for (JsonNode host : hosts) {
             entries.add(parseEntry(host));
         }
-        return new EndpointList(version.asLong(), snapshot.asBoolean(), List.copyOf(entries));
+        return new EndpointList(version.asLong(), snapshot.asBoolean(), entries);
     }
 
     private static Entry parseEntry(JsonNode host) throws EndpointListException {
@@ -94,13 +98,4 @@
             throw new EndpointListException(e.getMessage(), e);
         }
     }
-
-    /**
-     * Parses an address and port, as {@link SocketAddresses#parse} does.
-     *
-     * @throws IllegalArgumentException naming the text and what is wrong with it
-     */
-    public static InetSocketAddress address(String text) {
-        return SocketAddresses.parse(text);
-    }
 }
--- a/src/main/java/loadbalancer/simulator/WireDecimals.java
+++ b/src/main/java/loadbalancer/simulator/WireDecimals.java
@@ -24,7 +24,7 @@
             byte character = bytes[i];
             if (character == '.' && !afterPoint) {
                 afterPoint = true;
-            } else if (character >= '0' && character <= '9') {
+            } else if (isDigit(character)) {
                 digits = digits * RADIX + (character - '0');
                 digitCount++;
                 decimals += afterPoint ? 1 : 0;
@@ -32,13 +32,18 @@
                 return parseAsString(bytes, from, to);
             }
         }
-        if (digitCount == 0 || digitCount > MAX_DIGITS || decimals > MAX_DECIMALS) {
+        boolean exact = digitCount > 0 && digitCount <= MAX_DIGITS && decimals <= MAX_DECIMALS;
+        if (!exact) {
             return parseAsString(bytes, from, to);
         }
         double value = decimals > 0 ? digits / POWERS_OF_TEN[decimals] : digits;
         return negative ? -value : value;
     }
 
+    private static boolean isDigit(byte character) {
+        return character >= '0' && character <= '9';
+    }
+
     private static double parseAsString(byte[] bytes, int from, int to) {
         try {
             double value = Double.parseDouble(new String(bytes, from, to - from, StandardCharsets.UTF_8));
--- a/src/test/java/loadbalancer/discovery/DiscoveryClientFixture.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryClientFixture.java
@@ -15,8 +15,8 @@
 import loadbalancer.eventloop.Clock;
 import loadbalancer.policy.WatchEvent;
 import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.ScarceSocket;
 import loadbalancer.testing.TestSidecar;
-import loadbalancer.upstream.EndpointPoolTest;
 
 /**
  * A discovery client on a loop of its own, whose events and log lines are recorded. Its clock stands still until a test
@@ -26,7 +26,7 @@
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     private final AtomicLong nanos = new AtomicLong(1);
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
-    private final BlockingQueue<FakeServer.Wire> calls = new LinkedBlockingQueue<>();
+    private final BlockingQueue<FakeServer.Connection> calls = new LinkedBlockingQueue<>();
     final List<String> log = new CopyOnWriteArrayList<>();
     private DiscoveryClient client;
 
@@ -65,13 +65,7 @@
                 configuration.seed(),
                 configuration.lastKnownList());
         client = loop.submit(() -> new DiscoveryClient(
-                        loop,
-                        EndpointPoolTest.ScarceChannel.class,
-                        new Clock(nanos::get),
-                        mapper,
-                        settings,
-                        this,
-                        log::add))
+                        loop, ScarceSocket.class, new Clock(nanos::get), mapper, settings, this, log::add))
                 .get();
         watch();
     }
@@ -98,7 +92,7 @@
         loop.submit(() -> {}).get();
     }
 
-    FakeServer.Wire nextCall() throws InterruptedException {
+    FakeServer.Connection nextCall() throws InterruptedException {
         return next(calls);
     }
 
@@ -111,7 +105,7 @@
     }
 
     private static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
-        T item = queue.poll(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
+        T item = queue.poll(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (item == null) {
             throw new AssertionError("nothing came");
         }
--- a/src/test/java/loadbalancer/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/discovery/DiscoveryClientTest.java
@@ -11,7 +11,7 @@
 
 import java.util.List;
 import loadbalancer.testing.FakeServer;
-import loadbalancer.upstream.EndpointPoolTest;
+import loadbalancer.testing.ScarceSocket;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -31,7 +31,7 @@
     @ValueSource(strings = {"ask", "push"})
     void reconnectsAfterDescriptorsRanOut(String mode) throws Exception {
         try (FakeServer service = fixture.newService()) {
-            EndpointPoolTest.EXHAUSTED.set(true);
+            ScarceSocket.EXHAUSTED.set(true);
             try {
                 fixture.start(service, mode);
                 fixture.awaitLoop();
@@ -39,7 +39,7 @@
                     assertEquals("FAILED", fixture.nextEvent());
                 }
             } finally {
-                EndpointPoolTest.EXHAUSTED.set(false);
+                ScarceSocket.EXHAUSTED.set(false);
             }
             if (mode.equals("ask")) {
                 fixture.watch();
@@ -56,7 +56,7 @@
                 + list(52, false) + " " + indented(list(53, false, "d")) + "\n";
         try (FakeServer service = fixture.newService()) {
             fixture.start(service, "ask");
-            FakeServer.Wire call = fixture.nextCall();
+            FakeServer.Connection call = fixture.nextCall();
             call.text(HEAD);
             for (int i = 0; i < text.length(); i += pieceLength) {
                 call.text(chunk(text.substring(i, Math.min(text.length(), i + pieceLength))));
@@ -88,7 +88,7 @@
         try (FakeServer service = fixture.newService()) {
             fixture.start(service, "ask");
             for (int round = 1; round <= 2; round++) {
-                FakeServer.Wire call = fixture.nextCall();
+                FakeServer.Connection call = fixture.nextCall();
                 call.text(HEAD + chunk(list(50 + round, true, "a")));
                 assertEquals("SNAPSHOT " + (50 + round) + " [a]", fixture.nextEvent());
                 trySend(call, chunk(text));
@@ -117,7 +117,7 @@
     void endsIdleWatchAfterTimeout(String response) throws Exception {
         try (FakeServer service = fixture.newService()) {
             fixture.start(service, "ask");
-            FakeServer.Wire call = fixture.nextCall();
+            FakeServer.Connection call = fixture.nextCall();
             call.text(response.replace("LIST", HEAD + chunk(list(50, true))));
             if (response.equals("LIST")) {
                 assertEquals("SNAPSHOT 50 []", fixture.nextEvent());
@@ -132,7 +132,7 @@
             assertEquals(0, fixture.pendingEvents());
             fixture.advance(1200);
             assertEquals("IDLE_TIMEOUT", fixture.nextEvent());
-            service.awaitEnd();
+            service.awaitClose();
         }
     }
 
@@ -154,7 +154,7 @@
                     fixture.start(service, "ask");
                     started = true;
                 }
-                FakeServer.Wire call = fixture.nextCall();
+                FakeServer.Connection call = fixture.nextCall();
                 call.text(head + list(50, true, "a") + "\n" + sentList);
                 if (reset) {
                     call.reset();
@@ -177,7 +177,7 @@
     void emptyLinesKeepWatchAlive() throws Exception {
         try (FakeServer service = fixture.newService()) {
             fixture.start(service, "ask");
-            FakeServer.Wire call = fixture.nextCall();
+            FakeServer.Connection call = fixture.nextCall();
             call.text(HEAD);
             for (int i = 1; i <= 10; i++) {
                 call.text(chunk("\n") + chunk(list(50 + i, false)) + chunk("\r\n"));
@@ -211,7 +211,7 @@
             fixture.nextCall().text(HEAD + chunk(list(40, false, "old")));
             assertEquals("FAILED", fixture.nextEvent());
             fixture.watch();
-            FakeServer.Wire call = fixture.nextCall();
+            FakeServer.Connection call = fixture.nextCall();
             assertFalse(service.requests.get(1).line().contains("after"));
             call.text(HEAD + chunk(list(3, true, "a")) + chunk(list(4, false, "b")));
             assertEquals("SNAPSHOT 3 [a]", fixture.nextEvent());
@@ -226,7 +226,7 @@
                 FakeServer second = fixture.newService();
                 FakeServer last = fixture.newService()) {
             fixture.start(first, "ask");
-            FakeServer.Wire oldCall = fixture.nextCall();
+            FakeServer.Connection oldCall = fixture.nextCall();
             if (!state.equals("calling")) {
                 oldCall.text(HEAD + chunk(list(50, true, "a")));
                 assertEquals("SNAPSHOT 50 [a]", fixture.nextEvent());
@@ -246,7 +246,7 @@
             assertEquals("MOVED", fixture.nextEvent());
             assertEquals("MOVED", fixture.nextEvent());
             fixture.watch();
-            FakeServer.Wire newCall = fixture.nextCall();
+            FakeServer.Connection newCall = fixture.nextCall();
             assertEquals(1, last.requests.size());
             assertFalse(last.requests.get(0).line().contains("after"));
             String outdated = chunk(list(60, true, "x"));
--- a/src/test/java/loadbalancer/discovery/SidecarDiscoveryTest.java
+++ b/src/test/java/loadbalancer/discovery/SidecarDiscoveryTest.java
@@ -44,8 +44,8 @@
 
     /** Sends requests until an endpoint responds with this body, which may take the sidecar some time. */
     private static void awaitBody(TestClient client, String body) throws Exception {
-        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.PATIENCE_S);
-        while (!client.ask(TestClient.submit("5")).body().equals(body)) {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.TIMEOUT_SECONDS);
+        while (!client.exchange(TestClient.submit("5")).body().equals(body)) {
             if (System.nanoTime() > deadline) {
                 throw new AssertionError("no response of " + body);
             }
@@ -54,7 +54,7 @@
 
     private static void await(CountDownLatch latch) throws IOException {
         try {
-            assertTrue(latch.await(FakeServer.PATIENCE_S, TimeUnit.SECONDS), "never released");
+            assertTrue(latch.await(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS), "never released");
         } catch (InterruptedException e) {
             throw new IOException(e);
         }
@@ -80,7 +80,7 @@
             awaitBody(client, "next");
             int before = old.requests.size();
             for (int i = 0; i < 20; i++) {
-                assertEquals("next", client.ask(TestClient.submit("5")).body());
+                assertEquals("next", client.exchange(TestClient.submit("5")).body());
             }
             assertEquals(before, old.requests.size());
         }
@@ -103,7 +103,7 @@
                 TestClient client = sidecar.client()) {
             discovery.awaitRequest();
             assertTrue(discovery.awaitRequest().line().contains("after=41 "));
-            assertEquals("done", client.ask(TestClient.submit("5")).body());
+            assertEquals("done", client.exchange(TestClient.submit("5")).body());
         }
     }
 
@@ -114,10 +114,10 @@
                         + line(TestSidecar.list(77, false, TestSidecar.host("s0", endpoint.address(), "ready")))));
                 TestSidecar sidecar = new TestSidecar(discovery.address(), endpoint.address())) {
             assertTrue(discovery.awaitRequest().line().contains("after=41 "));
-            discovery.awaitEnd();
+            discovery.awaitClose();
             assertTrue(discovery.awaitRequest().line().contains("after=77 "));
             try (TestClient client = sidecar.client()) {
-                assertEquals("done", client.ask(TestClient.submit("5")).body());
+                assertEquals("done", client.exchange(TestClient.submit("5")).body());
             }
         }
     }
@@ -130,7 +130,7 @@
                 TestClient client = sidecar.client()) {
             discovery.awaitRequest();
             discovery.awaitRequest();
-            assertEquals("done", client.ask(TestClient.submit("5")).body());
+            assertEquals("done", client.exchange(TestClient.submit("5")).body());
         }
     }
 
@@ -144,10 +144,10 @@
                 });
                 TestSidecar sidecar = new TestSidecar(1024, discovery.address(), "push", endpoint.address());
                 TestClient client = sidecar.client()) {
-            assertEquals(503, client.ask(READINESS).status());
+            assertEquals(503, client.exchange(READINESS).status());
             sendList.countDown();
             sidecar.await(sidecar.server::isReady);
-            assertEquals(200, client.ask(READINESS).status());
+            assertEquals(200, client.exchange(READINESS).status());
         }
     }
 
@@ -155,16 +155,16 @@
     void becomesReadyThoughAgentIsUnreachable() throws Exception {
         try (TestSidecar sidecar = new TestSidecar(1024, FakeServer.refusing(), "push", FakeServer.refusing());
                 TestClient client = sidecar.client()) {
-            assertEquals(503, client.ask(READINESS).status());
+            assertEquals(503, client.exchange(READINESS).status());
             sidecar.await(sidecar.server::isReady);
-            assertEquals(200, client.ask(READINESS).status());
+            assertEquals(200, client.exchange(READINESS).status());
         }
     }
 
     @Test
     void migratesWatchOnReloadAndIgnoresOldOne(@TempDir Path directory) throws Exception {
         List<String> log = new CopyOnWriteArrayList<>();
-        AtomicReference<FakeServer.Wire> oldCall = new AtomicReference<>();
+        AtomicReference<FakeServer.Connection> oldCall = new AtomicReference<>();
         CountDownLatch sendList = new CountDownLatch(1);
         try (FakeServer endpoint = new FakeServer((request, wire) -> wire.ok("old"));
                 FakeServer next = new FakeServer((request, wire) -> wire.ok("next"));
@@ -180,31 +180,24 @@
             oldDiscovery.awaitRequest();
             Path file = directory.resolve("c.json");
             ConfigurationReload reload =
-                    new ConfigurationReload(file.toString(), new ObjectMapper(), sidecar.watch, log::add);
+                    new ConfigurationReload(file.toString(), new ObjectMapper(), sidecar.discovery, log::add);
             String valid = TestSidecar.config("127.0.0.1:0", newDiscovery.address(), 1024);
             rejectInvalidFiles(sidecar, reload, file, valid.replace(newDiscovery.address(), "nowhere"));
-            assertEquals(
-                    3,
-                    log.stream()
-                            .filter(line -> line.contains("configuration reload rejected"))
-                            .count());
+            assertRejectedReloads(3, log);
             assertEquals(0, newDiscovery.connections());
 
             // Two reloads in a row migrate once; what the old watch sent is read too late, for the loop is busy.
             Files.writeString(file, valid);
-            sidecar.group
-                    .next()
-                    .submit(() -> {
-                        oldCall.get().text(line(TestSidecar.list(99, true)));
-                        reload.run();
-                        reload.run();
-                        return null;
-                    })
-                    .get();
-            oldDiscovery.awaitEnd();
+            sidecar.call(() -> {
+                oldCall.get().text(line(TestSidecar.list(99, true)));
+                reload.run();
+                reload.run();
+                return null;
+            });
+            oldDiscovery.awaitClose();
             assertFalse(newDiscovery.awaitRequest().line().contains("after"));
             try (TestClient client = sidecar.client()) {
-                assertEquals("old", client.ask(TestClient.submit("5")).body());
+                assertEquals("old", client.exchange(TestClient.submit("5")).body());
                 sendList.countDown();
                 awaitBody(client, "next");
             }
@@ -213,6 +206,13 @@
         }
     }
 
+    private static void assertRejectedReloads(int expected, List<String> log) {
+        long rejected = log.stream()
+                .filter(line -> line.contains("configuration reload rejected"))
+                .count();
+        assertEquals(expected, rejected);
+    }
+
     /** Reloads a missing file, one that is not JSON, and one with this text. */
     private static void rejectInvalidFiles(TestSidecar sidecar, ConfigurationReload reload, Path file, String invalid)
             throws Exception {
--- a/src/test/java/loadbalancer/discovery/WatchResponses.java
+++ b/src/test/java/loadbalancer/discovery/WatchResponses.java
@@ -36,7 +36,7 @@
     }
 
     /** Sends to a client that may close the connection meanwhile, or has closed it. */
-    static void trySend(FakeServer.Wire wire, String text) {
+    static void trySend(FakeServer.Connection wire, String text) {
         try {
             wire.text(text);
         } catch (IOException expected) {
--- a/src/test/java/loadbalancer/downstream/AbusiveClientTest.java
+++ b/src/test/java/loadbalancer/downstream/AbusiveClientTest.java
@@ -31,7 +31,7 @@
             fixture.onLoop(() -> {
                 client.send(requests.toString());
                 if (!way.equals("stay")) {
-                    client.leave(way);
+                    client.disconnect(way);
                 }
                 return null;
             });
@@ -59,12 +59,12 @@
                 for (int i = 0; i < DISCONNECTING_CLIENTS; i++) {
                     TestClient client = fixture.client();
                     client.send(TestClient.status("50"));
-                    client.leave(way);
+                    client.disconnect(way);
                 }
                 return null;
             });
             fixture.sidecar.await(
-                    () -> fixture.sidecar.server.connections() == 0 && fixture.sidecar.sidecar.pendingCount() == 0);
+                    () -> fixture.sidecar.server.connections() == 0 && fixture.sidecar.dispatcher.pendingCount() == 0);
             assertOtherClientServed(fixture);
             assertEquals(0, forwardedRequests(fixture));
         }
@@ -108,7 +108,7 @@
 
     private static void assertOtherClientServed(SidecarFixture fixture) throws Exception {
         try (TestClient other = fixture.client()) {
-            assertEquals("done", other.ask(TestClient.pay("50")).body());
+            assertEquals("done", other.exchange(TestClient.pay("50")).body());
         }
     }
 
--- a/src/test/java/loadbalancer/downstream/ClientConnectionTest.java
+++ b/src/test/java/loadbalancer/downstream/ClientConnectionTest.java
@@ -29,7 +29,7 @@
     void answersOversizedHead() throws Exception {
         try (TestSidecar sidecar = new TestSidecar(FakeServer.refusing());
                 TestClient client = sidecar.client()) {
-            TestClient.Answer answer = client.ask("GET /api HTTP/1.1\r\nX: " + "y".repeat(100_000));
+            TestClient.Response answer = client.exchange("GET /api HTTP/1.1\r\nX: " + "y".repeat(100_000));
             assertEquals(400, answer.status());
             assertNull(client.read());
         }
@@ -48,12 +48,12 @@
             String request = TestClient.submit("50");
             client.send(request);
             fixture.endpoint.awaitRequest();
-            assertEquals(400, other.ask(request).status());
+            assertEquals(400, other.exchange(request).status());
             release.countDown();
             assertEquals("done", client.read().body());
             assertEquals(1, fixture.endpoint.requests.size());
             // The id of a completed request is free again, so that nothing grows.
-            assertEquals(200, later.ask(request).status());
+            assertEquals(200, later.exchange(request).status());
         }
     }
 
@@ -63,9 +63,9 @@
             TestClient client = fixture.client();
             client.send(TestClient.submit("50"));
             fixture.endpoint.awaitRequest();
-            assertEquals(400, client.ask(TestClient.submit("50")).status());
+            assertEquals(400, client.exchange(TestClient.submit("50")).status());
             assertNull(client.read());
-            fixture.endpoint.awaitEnd();
+            fixture.endpoint.awaitClose();
             assertEquals(1, fixture.endpoint.requests.size());
         }
     }
@@ -88,12 +88,12 @@
             sidecar.call(() -> sidecar.listener.pipeline().addFirst(new SmallSendBuffer()));
             client.setReceiveBufferSize(SMALL_BUFFER_BYTES);
             client.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), sidecar.port));
-            client.setSoTimeout(FakeServer.PATIENCE_S * 1000);
+            client.setSoTimeout(FakeServer.TIMEOUT_SECONDS * 1000);
             client.getOutputStream().write(TestClient.submit("50").getBytes(StandardCharsets.UTF_8));
             // The response is being written once the request is complete; bytes sent now are read before the rest of
             // it is written.
             fixture.endpoint.awaitRequest();
-            sidecar.await(() -> sidecar.sidecar.pendingCount() == 0);
+            sidecar.await(() -> sidecar.dispatcher.pendingCount() == 0);
             long before = sidecar.call(sidecar.activity::socketEvents);
             client.getOutputStream().write("GET".getBytes(StandardCharsets.UTF_8));
             sidecar.await(() -> sidecar.activity.socketEvents() > before);
@@ -106,7 +106,7 @@
     void forwardsValidatedHeadersOnly() throws Exception {
         try (SidecarFixture fixture = SidecarFixture.start()) {
             fixture.client()
-                    .ask("POST /api HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: 1\r\nRequest-Class: submit\r\n"
+                    .exchange("POST /api HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: 1\r\nRequest-Class: submit\r\n"
                             + "X-Secret: s\r\nContent-Type: text/plain\r\nServer-Load: util=1\r\n"
                             + "Connection: X-Secret\r\nContent-Length: 0\r\n\r\n");
             assertEquals(
--- a/src/test/java/loadbalancer/downstream/ConnectionLimitTest.java
+++ b/src/test/java/loadbalancer/downstream/ConnectionLimitTest.java
@@ -21,7 +21,7 @@
                 silent.add(fixture.client());
             }
             try (TestClient good = fixture.client()) {
-                assertEquals(200, good.ask(TestClient.status("5")).status());
+                assertEquals(200, good.exchange(TestClient.status("5")).status());
             }
             // All of them end without ever having sent anything.
             for (TestClient client : silent) {
@@ -36,12 +36,12 @@
             List<TestClient> idle = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
                 idle.add(fixture.client());
-                assertEquals(200, idle.get(i).ask(TestClient.status("5")).status());
+                assertEquals(200, idle.get(i).exchange(TestClient.status("5")).status());
             }
             for (int i = 0; i < 3; i++) {
                 assertNull(idle.get(i).read());
             }
-            assertEquals(200, idle.get(5).ask(TestClient.status("5")).status());
+            assertEquals(200, idle.get(5).exchange(TestClient.status("5")).status());
         }
     }
 
--- a/src/test/java/loadbalancer/downstream/DescriptorExhaustionTest.java
+++ b/src/test/java/loadbalancer/downstream/DescriptorExhaustionTest.java
@@ -89,7 +89,7 @@
         return builder.redirectError(dir.resolve("err").toFile()).start();
     }
 
-    private static void answerAllButSubmits(FakeServer.Request request, FakeServer.Wire wire) throws IOException {
+    private static void answerAllButSubmits(FakeServer.Request request, FakeServer.Connection wire) throws IOException {
         if (!request.headers().get("request-class").equals("submit")) {
             wire.ok("done");
         }
@@ -101,11 +101,11 @@
 
     // A connection may be closed unread, and a request rejected while connections are short: it is sent again.
     private static void assertServed(int port, int wanted) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.TIMEOUT_SECONDS);
         for (int served = 0; served < wanted; ) {
             assertTrue(System.nanoTime() < end, "only " + served + " served");
             try (TestClient client = new TestClient(port)) {
-                TestClient.Answer answer = client.ask(TestClient.status("5"));
+                TestClient.Response answer = client.exchange(TestClient.status("5"));
                 served += answer != null && answer.status() == 200 ? 1 : 0;
             } catch (IOException e) {
                 Thread.sleep(1);
@@ -120,7 +120,7 @@
     }
 
     private static void awaitDescriptors(Process process, boolean more, long bound) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.TIMEOUT_SECONDS);
         while (more ? descriptors(process) < bound : descriptors(process) > bound) {
             assertTrue(
                     System.nanoTime() < end && process.isAlive(),
@@ -133,7 +133,7 @@
         for (int i = 0; process.isAlive() && i < 4000; i++) {
             try (TestClient client = new TestClient(port)) {
                 // It listens a moment before it is ready; until then another process with the port may close unread.
-                TestClient.Answer answer = client.ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+                TestClient.Response answer = client.exchange("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
                 if (answer != null && answer.status() == 200) {
                     return;
                 }
--- a/src/test/java/loadbalancer/downstream/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/downstream/GracefulShutdownTest.java
@@ -29,11 +29,11 @@
         try (SidecarFixture fixture = SidecarFixture.startWithDeadline(DEADLINE_MILLIS)) {
             TestSidecar sidecar = fixture.sidecar;
             TestClient idle = fixture.client();
-            assertEquals("done", idle.ask(TestClient.status("5")).body());
+            assertEquals("done", idle.exchange(TestClient.status("5")).body());
             sidecar.group.next().execute(() -> sidecar.server.shutDown(finished::countDown));
             assertNull(idle.read());
             TestClient reconnected = fixture.client();
-            TestClient.Answer answer = reconnected.ask(TestClient.status("5"));
+            TestClient.Response answer = reconnected.exchange(TestClient.status("5"));
             assertEquals("done", answer.body());
             assertEquals("close", answer.headers().get("connection"));
             assertNull(reconnected.read());
@@ -66,7 +66,7 @@
     void answersRequestOfLateTurnBeforeIdleConnectionsClose() throws Exception {
         try (SidecarFixture fixture = SidecarFixture.startWithDeadline(DEADLINE_MILLIS)) {
             TestClient client = fixture.client();
-            assertEquals("done", client.ask(TestClient.status("5")).body());
+            assertEquals("done", client.exchange(TestClient.status("5")).body());
             LateTurn lateTurn = shutDownWithLateTurn(fixture.sidecar, CLOSE_IDLE_MILLIS - 1);
             // The loop stands still until both are due, so that it runs one right behind the other.
             fixture.onLoop(() -> {
@@ -86,8 +86,9 @@
     void doesNotWaitForRejectedRequest() throws Exception {
         try (TestSidecar sidecar = new TestSidecar(FakeServer.refusing());
                 TestClient client = sidecar.client()) {
-            TestClient.Answer answer = client.ask("POST /api HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Class: submit\r\n"
-                    + "Content-Length: 99999999\r\n\r\nbegun");
+            TestClient.Response answer =
+                    client.exchange("POST /api HTTP/1.1\r\nRequest-Id: 1\r\nRequest-Class: submit\r\n"
+                            + "Content-Length: 99999999\r\n\r\nbegun");
             assertEquals(413, answer.status());
             sidecar.group.next().execute(() -> sidecar.server.shutDown(finished::countDown));
             awaitFinished();
@@ -97,7 +98,7 @@
     /** A turn of the loop that stands still from when it is reached until it is resumed. */
     private record LateTurn(CountDownLatch reached, CountDownLatch resumed) {
         void await() throws InterruptedException {
-            assertTrue(reached.await(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(reached.await(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
 
         void resume() {
@@ -124,6 +125,6 @@
     }
 
     private void awaitFinished() throws InterruptedException {
-        assertTrue(finished.await(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(finished.await(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 }
--- a/src/test/java/loadbalancer/downstream/MalformedRequestTest.java
+++ b/src/test/java/loadbalancer/downstream/MalformedRequestTest.java
@@ -58,13 +58,13 @@
         try (SidecarFixture fixture = SidecarFixture.start()) {
             TestClient client = fixture.client();
             TestClient other = fixture.client();
-            TestClient.Answer answer = client.ask(request.replace("~", "\r\n"));
+            TestClient.Response answer = client.exchange(request.replace("~", "\r\n"));
             assertEquals(status, answer.status());
             // Where the next request would begin is not known, so there is no next one on this connection.
             assertEquals("close", answer.headers().get("connection"));
             assertNull(client.read());
             assertEquals(0, fixture.endpoint.connections());
-            assertEquals(200, other.ask(TestClient.status("5")).status());
+            assertEquals(200, other.exchange(TestClient.status("5")).status());
         }
     }
 
@@ -72,7 +72,8 @@
     void answersReadinessCheck() throws Exception {
         try (TestSidecar sidecar = new TestSidecar(FakeServer.refusing());
                 TestClient client = sidecar.client()) {
-            assertEquals(200, client.ask("GET /health/ready HTTP/1.1\r\n\r\n").status());
+            assertEquals(
+                    200, client.exchange("GET /health/ready HTTP/1.1\r\n\r\n").status());
         }
     }
 }
--- a/src/test/java/loadbalancer/eventloop/CoarseTimerIoHandlerTest.java
+++ b/src/test/java/loadbalancer/eventloop/CoarseTimerIoHandlerTest.java
@@ -60,7 +60,7 @@
         CountDownLatch done = new CountDownLatch(TIMERS);
         long before = loop.submit(activity::turns).get();
         loop.execute(() -> runTimer(loop, done));
-        assertTrue(done.await(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(done.await(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         return loop.submit(activity::turns).get() - before;
     }
 
--- a/src/test/java/loadbalancer/eventloop/ThreadProcessorTimeTest.java
+++ b/src/test/java/loadbalancer/eventloop/ThreadProcessorTimeTest.java
@@ -34,7 +34,7 @@
             assertEquals(ThreadProcessorTime.UNKNOWN, before);
             return;
         }
-        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.PATIENCE_S);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.TIMEOUT_SECONDS);
         while (time.getAsLong() < before + WORK_NANOS && System.nanoTime() < deadlineNanos) {
             Thread.onSpinWait();
         }
--- a/src/test/java/loadbalancer/lifecycle/ArchivedSidecar.java
+++ b/src/test/java/loadbalancer/lifecycle/ArchivedSidecar.java
@@ -51,7 +51,7 @@
 
     private boolean isReady() throws IOException {
         try (TestClient client = connect()) {
-            return client.ask(READINESS_CHECK).status() == 200;
+            return client.exchange(READINESS_CHECK).status() == 200;
         } catch (ConnectException e) {
             return false;
         }
@@ -121,10 +121,10 @@
     }
 
     /** Sends a request of this kind on a new connection and returns its response; keeps the watch alive. */
-    TestClient.Answer exchange(RequestKind kind) throws IOException {
+    TestClient.Response exchange(RequestKind kind) throws IOException {
         discovery.send("\n");
         try (TestClient client = connect()) {
-            return client.ask(kind.newRequest());
+            return client.exchange(kind.newRequest());
         }
     }
 
--- a/src/test/java/loadbalancer/lifecycle/FakeDiscovery.java
+++ b/src/test/java/loadbalancer/lifecycle/FakeDiscovery.java
@@ -13,9 +13,9 @@
     private static final String WATCH_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String LAST_CHUNK = "0\r\n\r\n";
 
-    private final BlockingQueue<FakeServer.Wire> watches = new LinkedBlockingQueue<>();
+    private final BlockingQueue<FakeServer.Connection> watches = new LinkedBlockingQueue<>();
     private final FakeServer server;
-    private FakeServer.Wire watch;
+    private FakeServer.Connection watch;
 
     FakeDiscovery() throws IOException {
         server = new FakeServer((request, wire) -> {
@@ -31,14 +31,14 @@
 
     /** Waits for the next watch. */
     void awaitWatch() throws InterruptedException {
-        watch = watches.poll(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
+        watch = watches.poll(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertNotNull(watch, "no watch came");
         useNewestWatch();
     }
 
     // On a machine that stood still, the sidecar may have replaced a watch that was silent for too long.
     private void useNewestWatch() {
-        FakeServer.Wire newer = watches.poll();
+        FakeServer.Connection newer = watches.poll();
         while (newer != null) {
             watch = newer;
             newer = watches.poll();
--- a/src/test/java/loadbalancer/lifecycle/GracefulShutdownTest.java
+++ b/src/test/java/loadbalancer/lifecycle/GracefulShutdownTest.java
@@ -30,7 +30,7 @@
     }
 
     private static void awaitDrained(CountDownLatch drained) throws InterruptedException {
-        assertTrue(drained.await(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
+        assertTrue(drained.await(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
     @Test
@@ -62,7 +62,7 @@
             shutDown(sidecar, NOTHING);
             assertEquals(502, complete.read().status());
             incomplete.send(request.substring(request.length() - 1));
-            TestClient.Answer answer = incomplete.read();
+            TestClient.Response answer = incomplete.read();
             // A request that was incomplete for too long may have been answered with 408 already.
             assertTrue(answer.status() == 503 || answer.status() == 408, "answered " + answer.status());
             assertNull(incomplete.read());
@@ -76,7 +76,7 @@
         try (FakeServer endpoint = new FakeServer((request, wire) -> wire.ok("done"));
                 TestSidecar sidecar = newSidecar(endpoint);
                 TestClient old = sidecar.client()) {
-            assertEquals(200, old.ask(TestClient.status("5")).status());
+            assertEquals(200, old.exchange(TestClient.status("5")).status());
             String request = TestClient.status("5");
             EventLoop loop = sidecar.group.next();
             // In one turn of the loop, so that both come in time however slow the machine is.
@@ -87,7 +87,7 @@
                     })
                     .get()) {
                 assertEquals(200, old.read().status());
-                assertEquals(200, late.ask(TestClient.status("5")).status());
+                assertEquals(200, late.exchange(TestClient.status("5")).status());
                 assertNull(old.read());
                 assertNull(late.read());
             }
--- a/src/test/java/loadbalancer/lifecycle/ProcessTest.java
+++ b/src/test/java/loadbalancer/lifecycle/ProcessTest.java
@@ -83,7 +83,7 @@
                     .directory(working.toFile());
             try (ProgramProcess sidecar = ProgramProcess.start(builder, errors);
                     TestClient client = connect(sidecar)) {
-                assertEquals(200, client.ask(TestClient.submit("50")).status());
+                assertEquals(200, client.exchange(TestClient.submit("50")).status());
                 sidecar.terminate();
                 client.close();
                 sidecar.awaitExit();
@@ -106,14 +106,15 @@
                 ProgramProcess sidecar = serve(configure(FakeServer.refusing(), endpoint.address()));
                 TestClient client = connect(sidecar);
                 TestClient idle = connect(sidecar)) {
-            assertEquals(200, idle.ask("GET /health/ready HTTP/1.1\r\n\r\n").status());
+            assertEquals(
+                    200, idle.exchange("GET /health/ready HTTP/1.1\r\n\r\n").status());
             client.send(TestClient.submit("60"));
             endpoint.awaitRequest();
             sidecar.terminate();
             // Idle connections are closed at once, but not the one with a pending request.
             assertNull(idle.read());
             release.countDown();
-            TestClient.Answer answer = client.read();
+            TestClient.Response answer = client.read();
             assertEquals("held", answer.body());
             assertEquals("close", answer.headers().get("connection"));
             assertNull(client.read());
@@ -140,10 +141,10 @@
             for (int i = 0; i < 3; i++) {
                 sidecar.signal("HUP");
             }
-            discovery.awaitEnd();
+            discovery.awaitClose();
             newDiscovery.awaitRequest();
             try (TestClient client = new TestClient(ProgramProcess.port(listen))) {
-                assertEquals("done", client.ask(TestClient.submit("5")).body());
+                assertEquals("done", client.exchange(TestClient.submit("5")).body());
             }
             assertTrue(sidecar.isAlive());
         }
@@ -191,9 +192,9 @@
             ProcessBuilder builder = ProgramProcess.builder(deployedHeap, configuration, "serve");
             try (ProgramProcess sidecar = ProgramProcess.start(builder, errors);
                     TestClient client = connect(sidecar)) {
-                assertTrue(sent.await(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
+                assertTrue(sent.await(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
                 for (int i = 0; i < 50; i++) {
-                    assertEquals("done", client.ask(TestClient.status("5")).body());
+                    assertEquals("done", client.exchange(TestClient.status("5")).body());
                 }
                 assertTrue(sidecar.isAlive());
                 assertEquals("", sidecar.errorText());
--- a/src/test/java/loadbalancer/lifecycle/ProgramProcess.java
+++ b/src/test/java/loadbalancer/lifecycle/ProgramProcess.java
@@ -67,7 +67,7 @@
 
     /** Waits for the process to end and returns its exit code. */
     public int awaitExit() throws InterruptedException {
-        return awaitExit(FakeServer.PATIENCE_S);
+        return awaitExit(FakeServer.TIMEOUT_SECONDS);
     }
 
     /** Waits at most this long for the process to end and returns its exit code. */
@@ -91,7 +91,7 @@
 
     /** Waits until a condition is true, as long as the process lives. */
     void await(String what, Callable<Boolean> condition) throws Exception {
-        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.PATIENCE_S);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.TIMEOUT_SECONDS);
         while (!condition.call()) {
             if (!process.isAlive() || System.nanoTime() > deadlineNanos) {
                 throw new AssertionError("no " + what + "; " + errorText());
--- a/src/test/java/loadbalancer/lifecycle/RarePathScenarios.java
+++ b/src/test/java/loadbalancer/lifecycle/RarePathScenarios.java
@@ -242,7 +242,7 @@
         try (TestClient idle = sidecar.connect();
                 TestClient pending = sidecar.connect();
                 TestClient incomplete = sidecar.connect()) {
-            idle.ask("GET /health/ready HTTP/1.1\r\n\r\n");
+            idle.exchange("GET /health/ready HTTP/1.1\r\n\r\n");
             incomplete.send("GET");
             pending.send(TestClient.submit("60"));
             process.await("request", () -> silent.requests.size() > received);
--- a/src/test/java/loadbalancer/proxy/AttemptOutcomeTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptOutcomeTest.java
@@ -22,8 +22,8 @@
     @Test
     void forwardsRequestUnchangedAndReusesConnections() throws Exception {
         try (ProxySetup setup = ProxySetup.withEndpoints(ProxySetup.OK)) {
-            TestClient.Answer answer = setup.client()
-                    .ask("POST /api?obj=7f%20x HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: 9b1f\r\n"
+            TestClient.Response answer = setup.client()
+                    .exchange("POST /api?obj=7f%20x HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: 9b1f\r\n"
                             + "Request-Class: pay\r\nIdempotency-Key: k7\r\nRequest-Timeout: 5\r\n"
                             + "Content-Length: 3\r\n\r\nabc");
             assertEquals(200, answer.status());
@@ -38,7 +38,8 @@
 
             // A connection is quarantined after a response; then it is used again.
             for (int i = 0; setup.requests().size() <= setup.connections() && i < 1000; i++) {
-                assertEquals(200, setup.client().ask(TestClient.status("5")).status());
+                assertEquals(
+                        200, setup.client().exchange(TestClient.status("5")).status());
             }
             assertTrue(setup.requests().size() > setup.connections());
         }
@@ -48,7 +49,7 @@
     void rejectsRequestIfAllConnectsAreRefused() throws Exception {
         try (TestSidecar sidecar = new TestSidecar(FakeServer.refusing(), FakeServer.refusing());
                 TestClient client = sidecar.client()) {
-            TestClient.Answer answer = client.ask(TestClient.submit("5"));
+            TestClient.Response answer = client.exchange(TestClient.submit("5"));
             assertEquals(503, answer.status());
             assertTrue(Double.parseDouble(answer.headers().get("retry-after")) > 0);
         }
@@ -65,7 +66,7 @@
             }
         };
         try (ProxySetup setup = ProxySetup.withEndpoints(rejectsFirst, rejectsFirst)) {
-            assertEquals("done", setup.client().ask(TestClient.submit("5")).body());
+            assertEquals("done", setup.client().exchange(TestClient.submit("5")).body());
             assertEquals(2, setup.requests().size());
         }
     }
@@ -76,7 +77,7 @@
         FakeServer.Script withRetryAfter = (request, wire) -> wire.answer(status, "Retry-After: 1\r\n", "x");
         FakeServer.Script without = (request, wire) -> wire.answer(status, "", "x");
         try (ProxySetup setup = ProxySetup.withEndpoints(withRetryAfter, without)) {
-            TestClient.Answer answer = setup.client().ask(TestClient.submit("5"));
+            TestClient.Response answer = setup.client().exchange(TestClient.submit("5"));
             assertEquals(502, answer.status());
             assertNull(answer.headers().get("retry-after"));
             assertEquals(1, setup.requests().size());
@@ -87,7 +88,7 @@
     void failsNonIdempotentRequestAfterReset() throws Exception {
         FakeServer.Script resets = (request, wire) -> wire.reset();
         try (ProxySetup setup = ProxySetup.withEndpoints(resets, resets)) {
-            assertEquals(502, setup.client().ask(TestClient.submit("5")).status());
+            assertEquals(502, setup.client().exchange(TestClient.submit("5")).status());
             assertEquals(1, setup.requests().size());
         }
     }
@@ -103,9 +104,9 @@
             }
         };
         try (ProxySetup setup = ProxySetup.withEndpoints(resetsSecondUse)) {
-            int status = setup.client().ask(TestClient.submit("5")).status();
+            int status = setup.client().exchange(TestClient.submit("5")).status();
             for (int i = 0; status == 200 && i < 1000; i++) {
-                status = setup.client().ask(TestClient.submit("5")).status();
+                status = setup.client().exchange(TestClient.submit("5")).status();
             }
             assertEquals(502, status);
             assertEquals(setup.connections() + 1, setup.requests().size());
@@ -123,7 +124,7 @@
             }
         };
         try (ProxySetup setup = ProxySetup.withEndpoints(resetsFirst, resetsFirst)) {
-            assertEquals("done", setup.client().ask(TestClient.status("5")).body());
+            assertEquals("done", setup.client().exchange(TestClient.status("5")).body());
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/AttemptTimeoutHeaderTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptTimeoutHeaderTest.java
@@ -41,7 +41,7 @@
     @Test
     void sendsClientTimeoutOnFirstAttempt() throws Exception {
         try (ProxySetup setup = create(NioSocketChannel.class, ProxySetup.OK)) {
-            assertEquals(200, setup.client().ask(TestClient.submit("50")).status());
+            assertEquals(200, setup.client().exchange(TestClient.submit("50")).status());
             assertTimeout(30, 50, setup.endpoint(0).awaitRequest());
         }
     }
@@ -61,7 +61,8 @@
         };
         try (ProxySetup setup = create(NioSocketChannel.class, resetsFirstLate, resetsFirstLate)) {
             sidecar.set(setup.sidecar());
-            assertEquals("done", setup.client().ask(TestClient.status("50")).body());
+            assertEquals(
+                    "done", setup.client().exchange(TestClient.status("50")).body());
             assertTimeout(40, 50, sent.get(0));
             assertTimeout(0, 40, sent.get(1));
         }
--- a/src/test/java/loadbalancer/proxy/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/proxy/ClientDisconnectTest.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Stream;
+import loadbalancer.testing.DeferredResponses;
 import loadbalancer.testing.FakeServer;
 import loadbalancer.testing.LateSocket;
 import loadbalancer.testing.TestClient;
@@ -40,7 +41,7 @@
     }
 
     // The test answers the first attempt of the request under test; a marker follows when it has ended.
-    private void serve(FakeServer.Request request, FakeServer.Wire wire) throws IOException {
+    private void serve(FakeServer.Request request, FakeServer.Connection wire) throws IOException {
         if (request.headers().get("request-class").equals("pay")) {
             wire.ok("marker");
         } else if (received.incrementAndGet() == 1) {
@@ -54,7 +55,7 @@
         return ProxySetup.withCancellation(cancellation, sockets, this::serve, this::serve);
     }
 
-    private static void fail(FakeServer.Wire wire, String failure) throws IOException {
+    private static void fail(FakeServer.Connection wire, String failure) throws IOException {
         if (failure.equals("reset")) {
             wire.reset();
         } else {
@@ -65,10 +66,10 @@
     // Whatever would be sent is sent before a request that is made after the one under test has ended.
     private static void assertAttempts(int count, ProxySetup setup) throws Exception {
         TestSidecar sidecar = setup.sidecar();
-        sidecar.await(() -> sidecar.sidecar.pendingCount() == 0);
-        sidecar.turn();
+        sidecar.await(() -> sidecar.dispatcher.pendingCount() == 0);
+        sidecar.awaitTurn();
         try (TestClient next = sidecar.client()) {
-            assertEquals("marker", next.ask(TestClient.pay("50")).body());
+            assertEquals("marker", next.exchange(TestClient.pay("50")).body());
         }
         long attempts = setup.requests().stream()
                 .filter(request -> request.headers().get("request-class").equals("status"))
@@ -82,12 +83,12 @@
         try (ProxySetup setup = create(cancellation, NioSocketChannel.class)) {
             TestSidecar sidecar = setup.sidecar();
             setup.client().send(TestClient.status("50"));
-            FakeServer.Wire wire = responses.awaitRequest();
+            FakeServer.Connection wire = responses.awaitRequest();
             if (disconnect.equals("stay")) {
                 fail(wire, failure);
                 assertEquals("done", setup.client().read().body());
             } else {
-                setup.client().leave(disconnect);
+                setup.client().disconnect(disconnect);
                 sidecar.await(() -> sidecar.server.connections() == 0);
                 if (!cancellation) {
                     fail(wire, failure);
@@ -104,20 +105,21 @@
             throws Exception {
         try (ProxySetup setup = create(cancellation, NioSocketChannel.class)) {
             // A retry would find an idle connection, and need not wait for one.
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.PATIENCE_S);
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.TIMEOUT_SECONDS);
             while (setup.endpoint(0).requests.isEmpty()
                     || setup.endpoint(1).requests.isEmpty()) {
                 assertTrue(System.nanoTime() < end, "an endpoint got no request");
-                assertEquals("marker", setup.client().ask(TestClient.pay("50")).body());
+                assertEquals(
+                        "marker", setup.client().exchange(TestClient.pay("50")).body());
             }
             awaitIdleConnections(setup.sidecar());
             setup.client().send(TestClient.status("50"));
-            FakeServer.Wire wire = responses.awaitRequest();
+            FakeServer.Connection wire = responses.awaitRequest();
             // The loop finds both at once, the failure first.
             setup.sidecar().call(() -> {
                 fail(wire, failure);
                 if (!disconnect.equals("stay")) {
-                    setup.client().leave(disconnect);
+                    setup.client().disconnect(disconnect);
                 }
                 return null;
             });
@@ -133,12 +135,12 @@
         sidecar.group
                 .next()
                 .schedule(() -> {}, 100, TimeUnit.MILLISECONDS)
-                .get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
+                .get(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     // By spinning: the loop is busy, and a connection may come up at either endpoint.
     private static void awaitConnection(ProxySetup setup) {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.TIMEOUT_SECONDS);
         while (setup.connections() == 0) {
             assertTrue(System.nanoTime() < end, "no connection came up");
             Thread.onSpinWait();
@@ -152,7 +154,7 @@
             TestSidecar sidecar = setup.sidecar();
             setup.client().send(TestClient.status("50"));
             Runnable connect = LateSocket.awaitConnect();
-            setup.client().leave(disconnect);
+            setup.client().disconnect(disconnect);
             sidecar.await(() -> sidecar.server.connections() == 0);
             connect.run();
             assertNoAttemptThoughAllConnect(setup);
@@ -174,7 +176,7 @@
                 sidecar.group.next().execute(() -> await(disconnected));
             });
             awaitConnection(setup);
-            setup.client().leave(disconnect);
+            setup.client().disconnect(disconnect);
             disconnected.countDown();
             assertNoAttemptThoughAllConnect(setup);
         }
@@ -186,7 +188,7 @@
             setup.client().send(TestClient.submit("50"));
             assertNotNull(setup.endpoint(0).awaitRequest());
             setup.client().close();
-            setup.endpoint(0).awaitEnd();
+            setup.endpoint(0).awaitClose();
         }
     }
 
@@ -202,13 +204,13 @@
             // The sidecar has seen the disconnect once it has only the connection of the next client.
             try (TestClient next = sidecar.client()) {
                 sidecar.await(() -> sidecar.server.connections() == 1);
-                assertEquals(400, next.ask(request).status());
+                assertEquals(400, next.exchange(request).status());
             }
             responses.awaitRequest().ok("late");
-            sidecar.await(() -> sidecar.sidecar.pendingCount() == 0);
+            sidecar.await(() -> sidecar.dispatcher.pendingCount() == 0);
             setup.endpoint(0).script(ProxySetup.OK);
             try (TestClient last = sidecar.client()) {
-                assertEquals(200, last.ask(request).status());
+                assertEquals(200, last.exchange(request).status());
             }
             assertEquals(2, setup.requests().size());
         }
--- a/src/test/java/loadbalancer/proxy/ConcurrentEventsTest.java
+++ b/src/test/java/loadbalancer/proxy/ConcurrentEventsTest.java
@@ -11,7 +11,9 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import loadbalancer.protocol.ProtocolLimits;
+import loadbalancer.testing.DeferredResponses;
 import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.SmallSendBufferSocket;
 import loadbalancer.testing.TestClient;
 import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.Test;
@@ -25,7 +27,7 @@
     void resetProvesNotExecutedOnlyBeforeLastByteIsWritten(boolean beforeLastByte, int status) throws Exception {
         try (ServerSocket endpoint = new ServerSocket()) {
             endpoint.setReceiveBufferSize(4096);
-            endpoint.setSoTimeout(FakeServer.PATIENCE_S * 1000);
+            endpoint.setSoTimeout(FakeServer.TIMEOUT_SECONDS * 1000);
             endpoint.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             String address = "127.0.0.1:" + endpoint.getLocalPort();
             String configuration = TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024, address);
@@ -37,7 +39,7 @@
                 client.send(TestClient.submit("50")
                         .replace("Content-Length: 3\r\n\r\nabc", "Content-Length: " + size + "\r\n\r\n" + body));
                 try (Socket socket = endpoint.accept()) {
-                    socket.setSoTimeout(FakeServer.PATIENCE_S * 1000);
+                    socket.setSoTimeout(FakeServer.TIMEOUT_SECONDS * 1000);
                     assertTrue(socket.getInputStream().read() >= 0);
                     if (!beforeLastByte) {
                         // What has arrived completely was written completely.
@@ -66,7 +68,7 @@
             TestSidecar sidecar = setup.sidecar();
             TestClient client = setup.client();
             client.send(TestClient.submit("1"));
-            FakeServer.Wire wire = responses.awaitRequest();
+            FakeServer.Connection wire = responses.awaitRequest();
             // The loop is kept busy until both are due.
             sidecar.call(() -> {
                 if (withLength) {
@@ -80,10 +82,11 @@
             });
             int status = client.read().status();
             assertTrue(status == 200 || status == 502, "answered " + status);
-            sidecar.await(() -> sidecar.sidecar.pendingCount() == 0);
+            sidecar.await(() -> sidecar.dispatcher.pendingCount() == 0);
             // Nothing is left over that would answer the next request.
             assertEquals(
-                    404, client.ask("GET /other HTTP/1.1\r\nHost: x\r\n\r\n").status());
+                    404,
+                    client.exchange("GET /other HTTP/1.1\r\nHost: x\r\n\r\n").status());
             assertEquals(1, setup.requests().size());
         }
     }
@@ -106,13 +109,14 @@
                 return null;
             });
             sidecar.await(() -> sidecar.server.connections() == 0);
-            if (!cancellation && sidecar.call(sidecar.sidecar::pendingCount) > 0) {
+            if (!cancellation && sidecar.call(sidecar.dispatcher::pendingCount) > 0) {
                 // An attempt that was sent may not be cancelled; its response reaches nobody.
                 responses.awaitRequest().ok("late");
             }
-            sidecar.await(() -> sidecar.sidecar.pendingCount() == 0);
+            sidecar.await(() -> sidecar.dispatcher.pendingCount() == 0);
             setup.endpoint(0).script((request, wire) -> wire.ok("next"));
-            assertEquals("next", setup.client().ask(TestClient.submit("50")).body());
+            assertEquals(
+                    "next", setup.client().exchange(TestClient.submit("50")).body());
             int sent = setup.requests().size();
             assertTrue(sent <= 2, "sent " + sent);
         }
@@ -125,17 +129,17 @@
                 FakeServer replacement = new FakeServer((request, wire) -> wire.ok("new"))) {
             FakeServer draining = setup.endpoint(0);
             setup.client().send(TestClient.submit("50"));
-            FakeServer.Wire wire = responses.awaitRequest();
+            FakeServer.Connection wire = responses.awaitRequest();
             setup.sidecar()
-                    .tell(
+                    .applyList(
                             false,
                             TestSidecar.host("s0", draining.address(), "draining"),
                             TestSidecar.host("s1", replacement.address(), "ready"));
             wire.ok("finished");
             assertEquals("finished", setup.client().read().body());
             // Its connection is quarantined no longer than the endpoint lasts, and is not used again.
-            draining.awaitEnd();
-            assertEquals("new", setup.client().ask(TestClient.submit("50")).body());
+            draining.awaitClose();
+            assertEquals("new", setup.client().exchange(TestClient.submit("50")).body());
             assertEquals(1, draining.requests.size());
         }
     }
@@ -143,7 +147,7 @@
     @Test
     void rejectsRequestWithoutEndpointList() throws Exception {
         try (ProxySetup setup = ProxySetup.withEndpoints()) {
-            TestClient.Answer answer = setup.client().ask(TestClient.submit("50"));
+            TestClient.Response answer = setup.client().exchange(TestClient.submit("50"));
             assertEquals(503, answer.status());
             assertTrue(Double.parseDouble(answer.headers().get("retry-after")) > 0);
         }
--- a/src/test/java/loadbalancer/proxy/ConnectionReuseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionReuseTest.java
@@ -21,9 +21,9 @@
             wire.socket().shutdownOutput();
         };
         try (ProxySetup setup = ProxySetup.withEndpoints(closesOutput)) {
-            assertEquals(200, setup.client().ask(TestClient.submit("5")).status());
-            setup.endpoint(0).awaitEnd();
-            assertEquals(200, setup.client().ask(TestClient.submit("5")).status());
+            assertEquals(200, setup.client().exchange(TestClient.submit("5")).status());
+            setup.endpoint(0).awaitClose();
+            assertEquals(200, setup.client().exchange(TestClient.submit("5")).status());
             assertEquals(2, setup.connections());
         }
     }
@@ -37,7 +37,8 @@
                 ProxySetup.OK,
                 ProxySetup.OK)) {
             for (int i = 0; i < 20; i++) {
-                assertEquals(200, setup.client().ask(TestClient.status("5")).status());
+                assertEquals(
+                        200, setup.client().exchange(TestClient.status("5")).status());
             }
             assertTrue(!setup.endpoint(0).requests.isEmpty()
                     && !setup.endpoint(1).requests.isEmpty());
@@ -56,10 +57,10 @@
             }
         };
         try (ProxySetup setup = ProxySetup.withEndpoints(resetsSecondUse)) {
-            assertEquals(200, setup.client().ask(TestClient.submit("5")).status());
+            assertEquals(200, setup.client().exchange(TestClient.submit("5")).status());
             long from = System.nanoTime();
             Thread.sleep(200);
-            assertEquals(502, setup.client().ask(TestClient.submit("5")).status());
+            assertEquals(502, setup.client().exchange(TestClient.submit("5")).status());
             long idleMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - from);
             setup.askUntilServed();
             // Idle for as long as that again, the connection must not be reused.
--- a/src/test/java/loadbalancer/proxy/LateConnectionTest.java
+++ b/src/test/java/loadbalancer/proxy/LateConnectionTest.java
@@ -34,7 +34,7 @@
                 leaving.send(TestClient.submit("50"));
                 connect = LateSocket.awaitConnect();
             }
-            sidecar.await(() -> sidecar.sidecar.pendingCount() == 0);
+            sidecar.await(() -> sidecar.dispatcher.pendingCount() == 0);
             assertNextRequestIsFirstOnConnection(setup, connect);
         }
     }
@@ -46,7 +46,7 @@
             setup.client().send(TestClient.submit("50"));
             Runnable connect = LateSocket.awaitConnect();
             setup.sidecar().call(() -> {
-                setup.sidecar().sidecar.failPending();
+                setup.sidecar().dispatcher.failPending();
                 return null;
             });
             assertEquals(502, setup.client().read().status());
@@ -59,9 +59,9 @@
         FakeServer endpoint = setup.endpoint(0);
         connect.run();
         endpoint.awaitConnection();
-        setup.sidecar().turn();
+        setup.sidecar().awaitTurn();
         try (TestClient next = setup.sidecar().client()) {
-            assertEquals("done", next.ask(TestClient.status("5")).body());
+            assertEquals("done", next.exchange(TestClient.status("5")).body());
         }
         assertEquals(1, endpoint.requests.size());
         assertEquals("status", endpoint.requests.get(0).headers().get("request-class"));
@@ -100,7 +100,7 @@
             publish(change, snapshot, setup.sidecar(), removed.address(), next.address());
             connect.run();
             removed.awaitConnection();
-            removed.awaitEnd();
+            removed.awaitClose();
             assertEquals(List.of(), removed.requests);
         }
     }
@@ -108,13 +108,13 @@
     private static void publish(String change, boolean snapshot, TestSidecar sidecar, String removed, String next)
             throws Exception {
         switch (change) {
-            case "draining", "gone" -> sidecar.tell(snapshot, TestSidecar.host("s0", removed, change));
-            case "moved" -> sidecar.tell(snapshot, TestSidecar.host("s0", next, "ready"));
-            case "reborn" -> sidecar.tell(snapshot, startedAt(1, removed));
-            case "missing" -> sidecar.tell(snapshot, TestSidecar.host("s1", next, "ready"));
+            case "draining", "gone" -> sidecar.applyList(snapshot, TestSidecar.host("s0", removed, change));
+            case "moved" -> sidecar.applyList(snapshot, TestSidecar.host("s0", next, "ready"));
+            case "reborn" -> sidecar.applyList(snapshot, startedAt(1, removed));
+            case "missing" -> sidecar.applyList(snapshot, TestSidecar.host("s1", next, "ready"));
             default -> {
-                sidecar.tell(snapshot, TestSidecar.host("s0", removed, "gone"));
-                sidecar.tell(snapshot, TestSidecar.host("s0", removed, "ready"));
+                sidecar.applyList(snapshot, TestSidecar.host("s0", removed, "gone"));
+                sidecar.applyList(snapshot, TestSidecar.host("s0", removed, "ready"));
             }
         }
     }
--- a/src/test/java/loadbalancer/proxy/LoopTimersTest.java
+++ b/src/test/java/loadbalancer/proxy/LoopTimersTest.java
@@ -35,15 +35,15 @@
                     nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(50));
                     return timer;
                 })
-                .get(FakeServer.PATIENCE_S, TimeUnit.SECONDS)
-                .get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
+                .get(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                .get(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertEquals(40, seenByTask[0], 1e-3);
     }
 
     @Test
     void runsNegativeDelayAtOnceWithoutLateness() throws Exception {
         AtomicInteger runs = new AtomicInteger();
-        timers.schedule(-5, runs::incrementAndGet).get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
+        timers.schedule(-5, runs::incrementAndGet).get(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertEquals(1, runs.get());
         assertEquals(0, lateness.current());
     }
@@ -52,8 +52,8 @@
     void neverRunsCancelledTask() throws Exception {
         AtomicInteger runs = new AtomicInteger();
         loop.submit(() -> assertTrue(timers.schedule(1, runs::incrementAndGet).cancel(false)))
-                .get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
-        timers.schedule(5, () -> {}).get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
+                .get(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        timers.schedule(5, () -> {}).get(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         assertEquals(0, runs.get());
     }
 }
--- a/src/test/java/loadbalancer/proxy/ProxySetup.java
+++ b/src/test/java/loadbalancer/proxy/ProxySetup.java
@@ -75,7 +75,7 @@
     /** Asks until the policy admits a request: after a failed attempt it rejects some. */
     String askUntilServed() throws Exception {
         for (int i = 0; i < 1000; i++) {
-            TestClient.Answer answer = client().ask(TestClient.submit("5"));
+            TestClient.Response answer = client().exchange(TestClient.submit("5"));
             if (answer.status() == 200) {
                 return answer.body();
             }
--- a/src/test/java/loadbalancer/proxy/RecordedWireTest.java
+++ b/src/test/java/loadbalancer/proxy/RecordedWireTest.java
@@ -34,7 +34,7 @@
     /** Sends a request on a connection of its own and returns all that comes until a pause or the end. */
     private static String exchange(TestSidecar sidecar, String request, boolean closes) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), sidecar.port)) {
-            socket.setSoTimeout(FakeServer.PATIENCE_S * 1000);
+            socket.setSoTimeout(FakeServer.TIMEOUT_SECONDS * 1000);
             socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
             return closes ? withoutTimes(readAll(socket.getInputStream())) : withoutTimes(readMessage(socket));
         }
@@ -188,7 +188,7 @@
                 }
             });
             exchange(sidecar, request.replace("~", "\r\n"), false);
-            String message = received.get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
+            String message = received.get(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
             assertEquals(forwarded.replace("~", "\r\n"), withoutTimes(message));
         }
     }
@@ -196,7 +196,7 @@
     @Test
     void watchesFromKnownVersionOrForSnapshot() throws Exception {
         try (ServerSocket discovery = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            discovery.setSoTimeout(FakeServer.PATIENCE_S * 1000);
+            discovery.setSoTimeout(FakeServer.TIMEOUT_SECONDS * 1000);
             String address = "127.0.0.1:" + discovery.getLocalPort();
             String known = TestSidecar.config("127.0.0.1:0", address, 1024);
             String unknown = known.replace("\"known\"", "\"other\"");
--- a/src/test/java/loadbalancer/proxy/RequestTimeoutTest.java
+++ b/src/test/java/loadbalancer/proxy/RequestTimeoutTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import loadbalancer.eventloop.LoopLateness;
+import loadbalancer.testing.DeferredResponses;
 import loadbalancer.testing.TestClient;
 import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.Test;
@@ -13,8 +14,8 @@
     @Test
     void failsRequestOfSilentEndpointAndClosesConnection() throws Exception {
         try (ProxySetup setup = ProxySetup.withEndpoints(ProxySetup.SILENT)) {
-            assertEquals(502, setup.client().ask(TestClient.submit("0.4")).status());
-            setup.endpoint(0).awaitEnd();
+            assertEquals(502, setup.client().exchange(TestClient.submit("0.4")).status());
+            setup.endpoint(0).awaitClose();
             assertEquals(1, setup.requests().size());
         }
     }
@@ -22,8 +23,8 @@
     @Test
     void servesNextRequestAfterTimeout() throws Exception {
         try (ProxySetup setup = ProxySetup.withEndpoints(new DeferredResponses())) {
-            assertEquals(502, setup.client().ask(TestClient.submit("0.3")).status());
-            setup.endpoint(0).awaitEnd();
+            assertEquals(502, setup.client().exchange(TestClient.submit("0.3")).status());
+            setup.endpoint(0).awaitClose();
             setup.endpoint(0).script(ProxySetup.OK);
             assertEquals("done", setup.askUntilServed());
         }
@@ -44,7 +45,7 @@
             TestSidecar sidecar = setup.sidecar();
             // Timers are due at their old times, and run as if the loop had been blocked.
             sidecar.advance(400);
-            sidecar.await(() -> sidecar.sidecar.lateness().current() > 300);
+            sidecar.await(() -> sidecar.dispatcher.lateness().current() > 300);
             setup.client().send(TestClient.submit("2"));
             // 2 s, less 0.6 s at most for the late loop, and 25 ms.
             String header = setup.endpoint(0).awaitRequest().headers().get("request-timeout");
@@ -53,7 +54,7 @@
             responses.awaitRequest().ok("done");
             assertEquals("done", setup.client().read().body());
             sidecar.advance(15_000);
-            sidecar.await(() -> sidecar.sidecar.lateness().current() < 1000);
+            sidecar.await(() -> sidecar.dispatcher.lateness().current() < 1000);
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/ResponseFramingTest.java
+++ b/src/test/java/loadbalancer/proxy/ResponseFramingTest.java
@@ -28,7 +28,7 @@
             wire.socket().close();
         };
         try (ProxySetup setup = ProxySetup.withEndpoints(closes)) {
-            TestClient.Answer answer = setup.client().ask(TestClient.submit("5"));
+            TestClient.Response answer = setup.client().exchange(TestClient.submit("5"));
             assertEquals(502, answer.status());
             assertEquals("", answer.body());
         }
@@ -40,7 +40,7 @@
                 + "Transfer-Encoding: chunked\r\nServer-Load: util=oops\r\n\r\n"
                 + "2\r\nab\r\n1\r\nc\r\n0\r\n\r\n");
         try (ProxySetup setup = ProxySetup.withEndpoints(chunked)) {
-            assertEquals("abc", setup.client().ask(TestClient.submit("5")).body());
+            assertEquals("abc", setup.client().exchange(TestClient.submit("5")).body());
         }
     }
 
@@ -61,8 +61,8 @@
         String text = raw.replace("INTERIM", "HTTP/1.1 100 Continue\r\n\r\n".repeat(50));
         try (ProxySetup setup = ProxySetup.withEndpoints((request, wire) -> wire.text(text))) {
             // The request's deadline is later than this test waits, and a retry is not allowed.
-            assertEquals(502, setup.client().ask(TestClient.submit("50")).status());
-            setup.endpoint(0).awaitEnd();
+            assertEquals(502, setup.client().exchange(TestClient.submit("50")).status());
+            setup.endpoint(0).awaitClose();
             assertEquals(1, setup.requests().size());
         }
     }
@@ -79,8 +79,9 @@
         String text = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood" + surplus;
         try (ProxySetup setup = ProxySetup.withEndpoints((request, wire) -> wire.text(text))) {
             for (int i = 0; i < 20; i++) {
-                assertEquals("good", setup.client().ask(TestClient.submit("5")).body());
-                setup.endpoint(0).awaitEnd();
+                assertEquals(
+                        "good", setup.client().exchange(TestClient.submit("5")).body());
+                setup.endpoint(0).awaitClose();
             }
             assertEquals(20, setup.connections());
         }
--- a/src/test/java/loadbalancer/proxy/StalledRequestsTest.java
+++ b/src/test/java/loadbalancer/proxy/StalledRequestsTest.java
@@ -67,10 +67,10 @@
             serve(setup, SERVED_BETWEEN);
             // No other request is made meanwhile.
             String silent = TestClient.status("4").replace("obj=k", "obj=silent");
-            assertEquals(502, setup.client().ask(silent).status());
+            assertEquals(502, setup.client().exchange(silent).status());
             int rejected = 0;
             for (int i = 0; i < REQUESTS_AFTER_TIMEOUT; i++) {
-                rejected += setup.client().ask(TestClient.status("5")).status() == 503 ? 1 : 0;
+                rejected += setup.client().exchange(TestClient.status("5")).status() == 503 ? 1 : 0;
             }
             assertTrue(rejected < REQUESTS_AFTER_TIMEOUT / 2, rejected + " rejected");
         }
@@ -112,17 +112,17 @@
 
     // The policy may reject a request now and then; so many have to be served within the bound.
     private static void serve(ProxySetup setup, int wanted) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.TIMEOUT_SECONDS);
         for (int served = 0; served < wanted; ) {
             assertTrue(System.nanoTime() < end, "only " + served + " served");
-            if (setup.client().ask(TestClient.status("5")).status() == 200) {
+            if (setup.client().exchange(TestClient.status("5")).status() == 200) {
                 served++;
             }
         }
     }
 
     private TestClient stallOne(ProxySetup setup) throws Exception {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.PATIENCE_S);
+        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.TIMEOUT_SECONDS);
         while (System.nanoTime() < end) {
             TestClient client = sendSubmit(setup);
             if (client != null) {
--- a/src/test/java/loadbalancer/proxy/WallClockTest.java
+++ b/src/test/java/loadbalancer/proxy/WallClockTest.java
@@ -5,6 +5,7 @@
 
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.testing.DeferredResponses;
 import loadbalancer.testing.FakeServer;
 import loadbalancer.testing.TestClient;
 import loadbalancer.testing.TestSidecar;
@@ -21,9 +22,9 @@
         DeferredResponses responses = new DeferredResponses();
         try (ProxySetup setup = ProxySetup.withEndpoints(responses)) {
             setup.client().send(TestClient.submit("50"));
-            FakeServer.Wire first = responses.awaitRequest();
+            FakeServer.Connection first = responses.awaitRequest();
             setup.sidecar().stepWallClock(stepMillis);
-            setup.sidecar().turn();
+            setup.sidecar().awaitTurn();
             first.ok("done");
             assertEquals("done", setup.client().read().body());
 
@@ -42,16 +43,16 @@
         try (ProxySetup setup = ProxySetup.withEndpoints(responses)) {
             TestSidecar sidecar = setup.sidecar();
             setup.client().send(TestClient.submit("50"));
-            FakeServer.Wire inFlight = responses.awaitRequest();
+            FakeServer.Connection inFlight = responses.awaitRequest();
             sidecar.call(() -> {
                 sidecar.server.shutDown(shutDown::countDown);
                 sidecar.stepWallClock(stepMillis);
                 return null;
             });
-            sidecar.turn();
+            sidecar.awaitTurn();
             inFlight.ok("done");
             assertEquals("done", setup.client().read().body());
-            assertTrue(shutDown.await(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(shutDown.await(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 
@@ -66,7 +67,7 @@
             setup.sidecar().stepWallClock(stepMillis);
             String started = TestSidecar.host("s1", starting.address(), "ready")
                     .replace("\"born_ms\":0", "\"born_ms\":" + setup.sidecar().wallClock());
-            setup.sidecar().tell(true, started);
+            setup.sidecar().applyList(true, started);
             sendRequests(setup);
             assertTrue(starting.requests.size() < REQUESTS / 2, "the starting one got " + starting.requests.size());
         }
@@ -74,7 +75,7 @@
 
     private static void sendRequests(ProxySetup setup) throws Exception {
         for (int i = 0; i < REQUESTS; i++) {
-            setup.client().ask(TestClient.status("5"));
+            setup.client().exchange(TestClient.status("5"));
         }
     }
 }
--- a/src/test/java/loadbalancer/simulator/RecordedTranscriptTest.java
+++ b/src/test/java/loadbalancer/simulator/RecordedTranscriptTest.java
@@ -15,7 +15,7 @@
     @ValueSource(longs = {1, 2, 3})
     void repliesAreUnchanged(long seed) throws Exception {
         String name = "simulator-" + seed;
-        if (RecordedBehaviour.recording()) {
+        if (RecordedBehaviour.isRecording()) {
             RecordedBehaviour.write(
                     name + ".in", SimulatorDriver.play(seed, BATCHES).input());
         }
--- a/src/test/java/loadbalancer/testing/FakeServer.java
+++ b/src/test/java/loadbalancer/testing/FakeServer.java
@@ -20,13 +20,13 @@
 /** A small HTTP server on loopback, as an endpoint or as discovery, that does what a script says. */
 public final class FakeServer implements AutoCloseable {
     /** How long a test waits for something that must happen, in seconds. */
-    public static final int PATIENCE_S = 20;
+    public static final int TIMEOUT_SECONDS = 20;
 
     /** What came in, read whole. */
     public record Request(String line, Map<String, String> headers, byte[] body) {}
 
     /** A connection that the script may answer on, leave silent or break. */
-    public record Wire(Socket socket) {
+    public record Connection(Socket socket) {
         /** Writes this text as it is. */
         public void text(String raw) throws IOException {
             OutputStream out = socket.getOutputStream();
@@ -59,7 +59,7 @@
     /** What the server does with each request. */
     public interface Script {
         /** Handles one request, on a thread of the connection. */
-        void on(Request request, Wire wire) throws IOException;
+        void on(Request request, Connection wire) throws IOException;
     }
 
     /** All requests that arrived, in their order. */
@@ -108,7 +108,7 @@
 
     /** Waits for the next request. */
     public Request awaitRequest() throws InterruptedException {
-        Request r = arrived.poll(PATIENCE_S, TimeUnit.SECONDS);
+        Request r = arrived.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (r == null) {
             throw new AssertionError("no request came");
         }
@@ -117,14 +117,14 @@
 
     /** Waits until a connection has come up. */
     public void awaitConnection() throws InterruptedException {
-        if (accepted.poll(PATIENCE_S, TimeUnit.SECONDS) == null) {
+        if (accepted.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS) == null) {
             throw new AssertionError("no connection came up");
         }
     }
 
     /** Waits until the other side has closed a connection. */
-    public void awaitEnd() throws InterruptedException {
-        if (ended.poll(PATIENCE_S, TimeUnit.SECONDS) == null) {
+    public void awaitClose() throws InterruptedException {
+        if (ended.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS) == null) {
             throw new AssertionError("no connection was closed");
         }
     }
@@ -154,7 +154,7 @@
             for (Request r = read(in); r != null; r = read(in)) {
                 requests.add(r);
                 arrived.add(r);
-                script.on(r, new Wire(socket));
+                script.on(r, new Connection(socket));
             }
         } catch (IOException e) {
             // broken by the script or by the other side
--- a/src/test/java/loadbalancer/testing/LateSocket.java
+++ b/src/test/java/loadbalancer/testing/LateSocket.java
@@ -21,7 +21,7 @@
 
     /** Waits until a connection has been begun; what it returns lets that one go on. */
     public static Runnable awaitConnect() throws InterruptedException {
-        Runnable go = PENDING.poll(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
+        Runnable go = PENDING.poll(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (go == null) {
             throw new AssertionError("no connection was begun");
         }
--- a/src/test/java/loadbalancer/testing/RecordedBehaviour.java
+++ b/src/test/java/loadbalancer/testing/RecordedBehaviour.java
@@ -23,7 +23,7 @@
     private RecordedBehaviour() {}
 
     /** True if this run records behaviour in place of comparing it. */
-    public static boolean recording() {
+    public static boolean isRecording() {
         return Boolean.getBoolean("record");
     }
 
@@ -40,7 +40,7 @@
 
     /** Compares this text with the recorded one of the same name, or records it. */
     public static void assertUnchanged(String name, String actual) throws IOException {
-        if (recording()) {
+        if (isRecording()) {
             write(name, actual);
         }
         assertEquals(read(name), actual, name);
--- a/src/test/java/loadbalancer/proxy/SmallSendBufferSocket.java
+++ b/src/test/java/loadbalancer/testing/SmallSendBufferSocket.java
@@ -1,4 +1,4 @@
-package loadbalancer.proxy;
+package loadbalancer.testing;
 
 import io.netty.channel.socket.nio.NioSocketChannel;
 
--- a/src/test/java/loadbalancer/testing/TestClient.java
+++ b/src/test/java/loadbalancer/testing/TestClient.java
@@ -14,7 +14,7 @@
 /** The application: one connection to a sidecar. */
 public final class TestClient implements AutoCloseable {
     /** A response of the sidecar. */
-    public record Answer(int status, Map<String, String> headers, String body) {}
+    public record Response(int status, Map<String, String> headers, String body) {}
 
     private static final AtomicInteger IDS = new AtomicInteger();
     private final Socket socket;
@@ -23,7 +23,7 @@
     /** A connection to this port on loopback. */
     public TestClient(int port) throws IOException {
         socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        socket.setSoTimeout(FakeServer.PATIENCE_S * 1000);
+        socket.setSoTimeout(FakeServer.TIMEOUT_SECONDS * 1000);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
@@ -33,7 +33,7 @@
     }
 
     /** Leaves by a {@code reset}, by ending its sending ({@code half}) or else by a full close. */
-    public void leave(String how) throws IOException {
+    public void disconnect(String how) throws IOException {
         switch (how) {
             case "half" -> socket.shutdownOutput();
             case "reset" -> {
@@ -65,13 +65,13 @@
     }
 
     /** Sends this request and reads its response. */
-    public Answer ask(String text) throws IOException {
+    public Response exchange(String text) throws IOException {
         send(text);
         return read();
     }
 
     /** The next answer, read whole; null if the connection ended before it began. */
-    public Answer read() throws IOException {
+    public Response read() throws IOException {
         String line = FakeServer.line(in);
         if (line == null) {
             return null;
@@ -87,7 +87,7 @@
         if (body.length < length) {
             throw new EOFException("only " + body.length + " of " + length + " bytes came");
         }
-        return new Answer(Integer.parseInt(line.split(" ")[1]), headers, new String(body, StandardCharsets.UTF_8));
+        return new Response(Integer.parseInt(line.split(" ")[1]), headers, new String(body, StandardCharsets.UTF_8));
     }
 
     @Override
--- a/src/test/java/loadbalancer/testing/TestSidecar.java
+++ b/src/test/java/loadbalancer/testing/TestSidecar.java
@@ -25,23 +25,23 @@
     public final LoopActivity activity = new LoopActivity();
     public final EventLoopGroup group = EventLoops.newEventLoop(activity).parent();
     public final ClientServer server;
-    public final RequestDispatcher sidecar;
-    public final DiscoveryClient watch;
+    public final RequestDispatcher dispatcher;
+    public final DiscoveryClient discovery;
     public final int port;
     public final Channel listener;
-    private final AtomicLong ahead = new AtomicLong();
-    private final AtomicLong wallStep = new AtomicLong();
+    private final AtomicLong nanosAhead = new AtomicLong();
+    private final AtomicLong wallClockStepMillis = new AtomicLong();
 
     /** A sidecar with plenty of sockets that knows these endpoints, named s0, s1 and so on. */
-    public TestSidecar(String discovery, String... endpoints) throws Exception {
-        this(1024, discovery, "ask", endpoints);
+    public TestSidecar(String discoveryAddress, String... endpoints) throws Exception {
+        this(1024, discoveryAddress, "ask", endpoints);
     }
 
-    /** A sidecar with so many sockets, whose list is asked for or pushed. */
-    public TestSidecar(int sockets, String discovery, String how, String... endpoints) throws Exception {
+    /** A sidecar that may use so many sockets, whose endpoint list is polled ({@code ask}) or pushed ({@code push}). */
+    public TestSidecar(int sockets, String discoveryAddress, String listMode, String... endpoints) throws Exception {
         this(
-                config("127.0.0.1:0", discovery, sockets, endpoints)
-                        .replace("\"discovery\":\"ask\"", "\"discovery\":\"" + how + "\""),
+                config("127.0.0.1:0", discoveryAddress, sockets, endpoints)
+                        .replace("\"discovery\":\"ask\"", "\"discovery\":\"" + listMode + "\""),
                 NioSocketChannel.class);
     }
 
@@ -50,11 +50,11 @@
         ObjectMapper mapper = new ObjectMapper();
         Configuration config = Configuration.parse(json, mapper);
         var loop = group.next();
-        Clock clock = new Clock(() -> System.nanoTime() + ahead.get(), this::wallClock);
+        Clock clock = new Clock(() -> System.nanoTime() + nanosAhead.get(), this::wallClock);
         SidecarComponents parts = SidecarComponents.create(config, mapper, loop, clock, channels, System.err::println);
         server = parts.server();
-        sidecar = parts.dispatcher();
-        watch = parts.discovery();
+        dispatcher = parts.dispatcher();
+        this.discovery = parts.discovery();
         listener = server.listen(config.listenAddress()).sync().channel();
         port = ((InetSocketAddress) listener.localAddress()).getPort();
         loop.submit(parts.start()).get();
@@ -73,7 +73,8 @@
     }
 
     /** A configuration with one class of each idempotency, and these endpoints as the last known list. */
-    public static String config(String listen, String discovery, int sockets, String... endpoints) throws IOException {
+    public static String config(String listen, String discoveryAddress, int sockets, String... endpoints)
+            throws IOException {
         String[] hosts = new String[endpoints.length];
         for (int i = 0; i < hosts.length; i++) {
             hosts[i] = host("s" + i, endpoints[i], "ready");
@@ -92,37 +93,37 @@
                    "cold":24000,"ask_within":10000},
                   "discovery":"ask","reporting":{"how":"inline","fields":["util","qps"]},"tenants":[],
                   "over_share_worth":0.1,"peers_total":1,"ordinal":0}}"""
-                .formatted(listen, discovery, sockets, list(41, true, hosts));
+                .formatted(listen, discoveryAddress, sockets, list(41, true, hosts));
     }
 
     /** Sets the clock on, by so many milliseconds; timers that run go on as they are. */
     public void advance(long millis) {
-        ahead.addAndGet(TimeUnit.MILLISECONDS.toNanos(millis));
+        nanosAhead.addAndGet(TimeUnit.MILLISECONDS.toNanos(millis));
     }
 
     /** Steps the wall clock by so many milliseconds, forward or back; the monotonic one runs on. */
     public void stepWallClock(long millis) {
-        wallStep.addAndGet(millis);
+        wallClockStepMillis.addAndGet(millis);
     }
 
     /** The wall clock's Unix time in milliseconds. */
     public long wallClock() {
-        return System.currentTimeMillis() + TimeUnit.NANOSECONDS.toMillis(ahead.get()) + wallStep.get();
+        return System.currentTimeMillis() + TimeUnit.NANOSECONDS.toMillis(nanosAhead.get()) + wallClockStepMillis.get();
     }
 
     /** Waits until all that the loop was given before has been done. */
-    public void turn() throws Exception {
+    public void awaitTurn() throws Exception {
         call(() -> null);
     }
 
     /** Runs this on the event loop and returns its result. */
     public <T> T call(Callable<T> task) throws Exception {
-        return group.next().submit(task).get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
+        return group.next().submit(task).get(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     /** Waits on the loop for what must come true. */
     public void await(Callable<Boolean> condition) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.PATIENCE_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(FakeServer.TIMEOUT_SECONDS);
         while (!call(condition)) {
             if (System.nanoTime() > until) {
                 throw new AssertionError("never came true");
@@ -132,10 +133,10 @@
     }
 
     /** Tells the sidecar a list, as discovery would. */
-    public void tell(boolean whole, String... hosts) throws Exception {
+    public void applyList(boolean whole, String... hosts) throws Exception {
         EndpointList list = EndpointList.parse(new ObjectMapper().readTree(list(50, whole, hosts)));
         call(() -> {
-            sidecar.endpointsReceived(whole ? WatchEvent.SNAPSHOT : WatchEvent.DELTA, list);
+            dispatcher.endpointsReceived(whole ? WatchEvent.SNAPSHOT : WatchEvent.DELTA, list);
             return null;
         });
     }
--- a/src/test/java/loadbalancer/upstream/CloseDelimitedResponseTest.java
+++ b/src/test/java/loadbalancer/upstream/CloseDelimitedResponseTest.java
@@ -16,6 +16,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import loadbalancer.testing.DeferredResponses;
 import loadbalancer.testing.FakeServer;
 import loadbalancer.testing.TestClient;
 import loadbalancer.testing.TestSidecar;
@@ -48,7 +49,7 @@
     @CsvSource({"65536, 200", "65537, 502"})
     void limitsBodySize(int size, int status) throws Exception {
         String body = "x".repeat(size);
-        TestClient.Answer answer = sendOnce(thenClose(HEAD + body));
+        TestClient.Response answer = sendOnce(thenClose(HEAD + body));
         assertEquals(status, answer.status());
         assertEquals(status == 200 ? body : "", answer.body());
     }
@@ -60,8 +61,8 @@
                 TestSidecar sidecar = new TestSidecar(4, FakeServer.refusing(), "ask", endpoint.address());
                 TestClient client = sidecar.client()) {
             for (int i = 1; i <= 20; i++) {
-                assertServed("done", client.ask(TestClient.submit("50")));
-                endpoint.awaitEnd();
+                assertServed("done", client.exchange(TestClient.submit("50")));
+                endpoint.awaitClose();
                 assertEquals(i, endpoint.connections());
             }
         }
@@ -75,12 +76,12 @@
 
     // The loop is blocked until head, body and end of stream have all come.
     private static void assertServedInOneTurn(String text, String body) throws Exception {
-        CapturingScript script = new CapturingScript();
+        DeferredResponses script = new DeferredResponses();
         try (FakeServer endpoint = new FakeServer(script);
                 TestSidecar sidecar = sidecar(endpoint.address());
                 TestClient client = sidecar.client()) {
             client.send(TestClient.submit("50"));
-            FakeServer.Wire wire = script.awaitWire();
+            FakeServer.Connection wire = script.awaitRequest();
             sidecar.call(() -> {
                 wire.text(text);
                 wire.socket().close();
@@ -93,12 +94,12 @@
     @ParameterizedTest
     @CsvSource({PAUSE_BELOW_STALL_MILLIS + ", 200", PAUSE_ABOVE_STALL_MILLIS + ", 502"})
     void failsResponseThatPausesForStallTimeout(long pauseMillis, int status) throws Exception {
-        CapturingScript script = new CapturingScript();
+        DeferredResponses script = new DeferredResponses();
         try (FakeServer endpoint = new FakeServer(script);
                 TestSidecar sidecar = sidecar(endpoint.address());
                 TestClient client = sidecar.client()) {
             client.send(TestClient.submit("50"));
-            FakeServer.Wire wire = script.awaitWire();
+            FakeServer.Connection wire = script.awaitRequest();
             for (String piece : new String[] {HEAD, "in ", "three ", "pieces"}) {
                 long before = sidecar.call(sidecar.activity::socketEvents);
                 try {
@@ -115,10 +116,10 @@
             if (status == 200) {
                 wire.socket().shutdownOutput();
             }
-            TestClient.Answer answer = client.read();
+            TestClient.Response answer = client.read();
             assertEquals(status, answer.status());
             assertEquals(status == 200 ? "in three pieces" : "", answer.body());
-            endpoint.awaitEnd();
+            endpoint.awaitClose();
         }
     }
 
@@ -142,7 +143,7 @@
         try (FakeServer endpoint = new FakeServer((request, wire) -> wire.text("HTTP/1.1 " + status + "\r\n\r\n"));
                 TestSidecar sidecar = sidecar(endpoint.address());
                 TestClient client = sidecar.client()) {
-            assertFailed(client.ask(TestClient.submit("50")));
+            assertFailed(client.exchange(TestClient.submit("50")));
             assertEquals(1, endpoint.requests.size());
         }
     }
@@ -177,7 +178,8 @@
                 FakeServer otherEndpoint = new FakeServer(script);
                 TestSidecar sidecar = sidecar(endpoint.address(), otherEndpoint.address());
                 TestClient client = sidecar.client()) {
-            assertEquals(expectedStatus, client.ask(TestClient.submit("50")).status());
+            assertEquals(
+                    expectedStatus, client.exchange(TestClient.submit("50")).status());
             assertEquals(attempts, endpoint.requests.size() + otherEndpoint.requests.size());
         }
     }
@@ -191,8 +193,8 @@
                 TestSidecar sidecar = sidecar(endpoint.address(), otherEndpoint.address());
                 TestClient client = sidecar.client()) {
             String request = TestRequests.ofClass(requestClass, "50");
-            assertEquals(reset ? 502 : 200, client.ask(request).status());
-            sidecar.await(() -> sidecar.sidecar.pendingCount() == 0);
+            assertEquals(reset ? 502 : 200, client.exchange(request).status());
+            sidecar.await(() -> sidecar.dispatcher.pendingCount() == 0);
             assertEquals(1, endpoint.requests.size() + otherEndpoint.requests.size());
         }
     }
@@ -206,29 +208,29 @@
                 FakeServer otherEndpoint = new FakeServer(firstBreaks);
                 TestSidecar sidecar = sidecar(endpoint.address(), otherEndpoint.address());
                 TestClient client = sidecar.client()) {
-            assertEquals("elsewhere", client.ask(TestClient.status("50")).body());
+            assertEquals("elsewhere", client.exchange(TestClient.status("50")).body());
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"full", "half", "reset"})
     void releasesRequestWhenResponseEndsAsClientLeaves(String how) throws Exception {
-        CapturingScript script = new CapturingScript();
+        DeferredResponses script = new DeferredResponses();
         try (FakeServer endpoint = new FakeServer(script);
                 TestSidecar sidecar = sidecar(endpoint.address());
                 TestClient leaving = sidecar.client()) {
             leaving.send(TestClient.submit("50"));
-            FakeServer.Wire wire = script.awaitWire();
+            FakeServer.Connection wire = script.awaitRequest();
             sidecar.call(() -> {
                 wire.text(HEAD + "done");
                 wire.socket().close();
-                leaving.leave(how);
+                leaving.disconnect(how);
                 return null;
             });
-            sidecar.await(() -> sidecar.sidecar.pendingCount() == 0 && sidecar.server.connections() == 0);
+            sidecar.await(() -> sidecar.dispatcher.pendingCount() == 0 && sidecar.server.connections() == 0);
             endpoint.script(OK);
             try (TestClient client = sidecar.client()) {
-                assertServed("elsewhere", client.ask(TestClient.submit("50")));
+                assertServed("elsewhere", client.exchange(TestClient.submit("50")));
             }
             assertEquals(2, endpoint.requests.size());
         }
@@ -236,24 +238,24 @@
 
     @Test
     void servesResponseThatEndsDuringShutdown() throws Exception {
-        CapturingScript script = new CapturingScript();
+        DeferredResponses script = new DeferredResponses();
         CountDownLatch drained = new CountDownLatch(1);
         try (FakeServer endpoint = new FakeServer(script);
                 TestSidecar sidecar = sidecar(endpoint.address());
                 TestClient client = sidecar.client()) {
             client.send(TestClient.submit("50"));
-            FakeServer.Wire wire = script.awaitWire();
+            FakeServer.Connection wire = script.awaitRequest();
             sidecar.call(() -> {
                 wire.text(HEAD + "done");
                 sidecar.server.shutDown(drained::countDown);
                 wire.socket().close();
                 return null;
             });
-            TestClient.Answer answer = client.read();
+            TestClient.Response answer = client.read();
             assertNotNull(answer);
             assertServed("done", answer);
             client.close();
-            assertTrue(drained.await(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(drained.await(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
     }
 }
--- a/src/test/java/loadbalancer/upstream/CloseDelimitedResponses.java
+++ b/src/test/java/loadbalancer/upstream/CloseDelimitedResponses.java
@@ -40,25 +40,25 @@
      * The answer to a request that is not idempotent, with one endpoint that has this script. It is sent once, and its
      * connection is closed.
      */
-    static TestClient.Answer sendOnce(FakeServer.Script script) throws Exception {
+    static TestClient.Response sendOnce(FakeServer.Script script) throws Exception {
         try (FakeServer endpoint = new FakeServer(script);
                 TestSidecar sidecar = sidecar(endpoint.address());
                 TestClient client = sidecar.client()) {
-            TestClient.Answer answer = client.ask(TestClient.submit("50"));
-            endpoint.awaitEnd();
+            TestClient.Response answer = client.exchange(TestClient.submit("50"));
+            endpoint.awaitClose();
             assertEquals(1, endpoint.requests.size());
-            sidecar.await(() -> sidecar.sidecar.pendingCount() == 0);
+            sidecar.await(() -> sidecar.dispatcher.pendingCount() == 0);
             return answer;
         }
     }
 
-    static void assertServed(String body, TestClient.Answer answer) {
+    static void assertServed(String body, TestClient.Response answer) {
         assertEquals(200, answer.status());
         assertEquals(Integer.toString(body.length()), answer.headers().get("content-length"));
         assertEquals(body, answer.body());
     }
 
-    static void assertFailed(TestClient.Answer answer) {
+    static void assertFailed(TestClient.Response answer) {
         assertEquals(502, answer.status());
         assertEquals("", answer.body());
     }
--- a/src/test/java/loadbalancer/upstream/ConnectionQuarantineTest.java
+++ b/src/test/java/loadbalancer/upstream/ConnectionQuarantineTest.java
@@ -9,6 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import loadbalancer.discovery.EndpointList;
+import loadbalancer.discovery.SocketAddresses;
 import loadbalancer.eventloop.Clock;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointStatus;
@@ -22,7 +23,7 @@
     private final ConnectionQuarantine quarantine = new ConnectionQuarantine(channel.eventLoop(), clock);
     private final PooledEndpoint endpoint = new PooledEndpoint(
             new EndpointList.Entry(
-                    new Endpoint("s", EndpointStatus.READY, 1, "a", 0, 0), EndpointList.address("127.0.0.1:1")),
+                    new Endpoint("s", EndpointStatus.READY, 1, "a", 0, 0), SocketAddresses.parse("127.0.0.1:1")),
             60_000);
     private final EndpointConnection connection =
             new EndpointConnection(quarantine, channel.eventLoop(), clock, endpoint);
--- a/src/test/java/loadbalancer/upstream/EndlessResponseTest.java
+++ b/src/test/java/loadbalancer/upstream/EndlessResponseTest.java
@@ -69,23 +69,24 @@
                         new TestSidecar(FakeServer.refusing(), endpoint.address(), otherEndpoint.address());
                 TestClient client = sidecar.client()) {
             boolean retryAllowed = !requestClass.equals("submit");
-            int status = client.ask(TestRequests.ofClass(requestClass, timeoutSeconds))
+            int status = client.exchange(TestRequests.ofClass(requestClass, timeoutSeconds))
                     .status();
             assertTrue(status == 502 || status == 503 && retryAllowed, "answered " + status);
-            sidecar.await(() -> sidecar.sidecar.pendingCount() == 0);
+            sidecar.await(() -> sidecar.dispatcher.pendingCount() == 0);
             int sent = endpoint.requests.size() + otherEndpoint.requests.size();
             assertTrue(sent >= 1 && (sent == 1 || retryAllowed), "sent " + sent);
             // Each attempt has ended with its connection, and no second answer comes before the next one.
             awaitEndOfEachRequest(endpoint);
             awaitEndOfEachRequest(otherEndpoint);
             assertEquals(
-                    404, client.ask("GET /other HTTP/1.1\r\nHost: x\r\n\r\n").status());
+                    404,
+                    client.exchange("GET /other HTTP/1.1\r\nHost: x\r\n\r\n").status());
         }
     }
 
     private static void awaitEndOfEachRequest(FakeServer endpoint) throws InterruptedException {
         for (int i = endpoint.requests.size(); i > 0; i--) {
-            endpoint.awaitEnd();
+            endpoint.awaitClose();
         }
     }
 
@@ -98,7 +99,7 @@
                 TestSidecar sidecar =
                         new TestSidecar(FakeServer.refusing(), endpoint.address(), otherEndpoint.address());
                 TestClient client = sidecar.client()) {
-            assertEquals(502, client.ask(TestClient.submit("50")).status());
+            assertEquals(502, client.exchange(TestClient.submit("50")).status());
             assertEquals(1, endpoint.requests.size() + otherEndpoint.requests.size());
         }
     }
--- a/src/test/java/loadbalancer/upstream/EndpointPoolTest.java
+++ b/src/test/java/loadbalancer/upstream/EndpointPoolTest.java
@@ -14,38 +14,27 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
 import loadbalancer.discovery.EndpointList;
+import loadbalancer.discovery.SocketAddresses;
 import loadbalancer.eventloop.Clock;
 import loadbalancer.policy.AttemptOutcome;
 import loadbalancer.policy.Endpoint;
 import loadbalancer.policy.EndpointStatus;
 import loadbalancer.policy.LoadReport;
+import loadbalancer.testing.DeferredResponses;
 import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.ScarceSocket;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /** The pool when there are no descriptors left, and when surplus bytes follow a response. */
-public class EndpointPoolTest {
-    /** True while no socket can be created; static because Netty creates the channels by their class. */
-    public static final AtomicBoolean EXHAUSTED = new AtomicBoolean();
-
-    /** A socket that can't be created while there are no descriptors. */
-    public static final class ScarceChannel extends NioSocketChannel {
-        /** A socket, if there is a descriptor for it. */
-        public ScarceChannel() {
-            if (EXHAUSTED.get()) {
-                throw new IllegalStateException("too many open files");
-            }
-        }
-    }
-
+class EndpointPoolTest {
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
 
     @AfterEach
     void stopLoop() {
-        EXHAUSTED.set(false);
+        ScarceSocket.EXHAUSTED.set(false);
         loop.parent().shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
@@ -53,13 +42,13 @@
     void failsConnectWithoutDescriptorsAndRecovers() throws Exception {
         try (FakeServer endpoint = new FakeServer((request, wire) -> wire.ok("done"))) {
             // Only one connection, so that one wrongly counted as open would be one too many.
-            EndpointPool pool = new EndpointPool(loop, ScarceChannel.class, new Clock(), 1000, 60000, 1);
+            EndpointPool pool = new EndpointPool(loop, ScarceSocket.class, new Clock(), 1000, 60000, 1);
             addEndpoint(pool, endpoint);
-            EXHAUSTED.set(true);
+            ScarceSocket.EXHAUSTED.set(true);
             for (int i = 0; i < 3; i++) {
                 assertEquals(AttemptOutcome.CONNECT_FAILED, send(pool));
             }
-            EXHAUSTED.set(false);
+            ScarceSocket.EXHAUSTED.set(false);
             assertEquals(AttemptOutcome.SUCCESS, send(pool));
             assertEquals(1, endpoint.requests.size());
         }
@@ -67,20 +56,20 @@
 
     @Test
     void suspendsReuseAfterSurplusResponse() throws Exception {
-        CapturingScript script = new CapturingScript();
+        DeferredResponses script = new DeferredResponses();
         AtomicLong nanos = new AtomicLong(1);
         try (FakeServer endpoint = new FakeServer(script)) {
             EndpointPool pool = new EndpointPool(loop, NioSocketChannel.class, new Clock(nanos::get), 1000, 600_000, 9);
             addEndpoint(pool, endpoint);
             CompletableFuture<AttemptOutcome> first = begin(pool);
             CompletableFuture<AttemptOutcome> second = begin(pool);
-            FakeServer.Wire wire = script.awaitWire();
+            FakeServer.Connection wire = script.awaitRequest();
             wire.ok("done");
-            script.awaitWire().ok("done");
-            assertEquals(AttemptOutcome.SUCCESS, first.get(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
-            assertEquals(AttemptOutcome.SUCCESS, second.get(FakeServer.PATIENCE_S, TimeUnit.SECONDS));
+            script.awaitRequest().ok("done");
+            assertEquals(AttemptOutcome.SUCCESS, first.get(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
+            assertEquals(AttemptOutcome.SUCCESS, second.get(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS));
             wire.ok("again");
-            endpoint.awaitEnd();
+            endpoint.awaitClose();
             endpoint.script((request, next) -> next.ok("done"));
             // Whether the other connection is quarantined by now, idle, or closed.
             for (int i = 3; i < 30; i++) {
@@ -99,18 +88,18 @@
 
     // Spreads the requests over the quarantine, whose timers run on the same loop.
     private void letTimersRun(long millis) throws Exception {
-        loop.schedule(() -> {}, millis, TimeUnit.MILLISECONDS).get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
+        loop.schedule(() -> {}, millis, TimeUnit.MILLISECONDS).get(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private void addEndpoint(EndpointPool pool, FakeServer endpoint) throws Exception {
         EndpointList.Entry entry = new EndpointList.Entry(
-                new Endpoint("s", EndpointStatus.READY, 1, "a", 0, 0), EndpointList.address(endpoint.address()));
+                new Endpoint("s", EndpointStatus.READY, 1, "a", 0, 0), SocketAddresses.parse(endpoint.address()));
         loop.submit(() -> pool.update(new EndpointList(1, true, List.of(entry))))
                 .get();
     }
 
     private AttemptOutcome send(EndpointPool pool) throws Exception {
-        return begin(pool).get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
+        return begin(pool).get(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private CompletableFuture<AttemptOutcome> begin(EndpointPool pool) {
--- a/src/test/java/loadbalancer/upstream/FailingSystemCallTest.java
+++ b/src/test/java/loadbalancer/upstream/FailingSystemCallTest.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import loadbalancer.protocol.ProtocolLimits;
-import loadbalancer.proxy.CrossingTest;
 import loadbalancer.testing.FailingSocket;
 import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.SmallSendBufferSocket;
 import loadbalancer.testing.TestClient;
 import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.AfterEach;
@@ -59,12 +59,12 @@
                 TestClient client = sidecar.client()) {
             FailingSocket.fail(call, message);
             for (int i = 0; i < REQUESTS; i++) {
-                assertEquals(503, client.ask(TestClient.submit("50")).status());
+                assertEquals(503, client.exchange(TestClient.submit("50")).status());
             }
             assertTrue(FailingSocket.FAILED.get() > 0);
             assertTrue(FailingSocket.FAILED.get() <= REQUESTS * MAX_ATTEMPTS, "failed " + FailingSocket.FAILED);
             assertEquals(0, endpoint.requests.size() + otherEndpoint.requests.size());
-            sidecar.await(() -> sidecar.sidecar.pendingCount() == 0);
+            sidecar.await(() -> sidecar.dispatcher.pendingCount() == 0);
             FailingSocket.fail(FailingSocket.Call.NONE, "");
             assertServedAgain(sidecar, client);
         }
@@ -75,8 +75,8 @@
         int status = 0;
         for (int i = 0; status != 200 && i < 2000; i++) {
             sidecar.advance(100);
-            sidecar.turn();
-            status = client.ask(TestClient.submit("50")).status();
+            sidecar.awaitTurn();
+            status = client.exchange(TestClient.submit("50")).status();
         }
         assertEquals(200, status);
     }
@@ -97,7 +97,7 @@
                 return sidecar.activity.turns();
             });
             try (TestClient client = sidecar.client()) {
-                assertEquals(200, client.ask(TestClient.submit("50")).status());
+                assertEquals(200, client.exchange(TestClient.submit("50")).status());
             }
             long turns = sidecar.call(sidecar.activity::turns) - before;
             assertTrue(turns < MAX_TURNS, "made " + turns + " turns");
@@ -127,8 +127,8 @@
                 endpoint.awaitRequest();
                 Channel broken = accepted.channels.take();
                 sidecar.call(() -> broken.pipeline().fireExceptionCaught(new IOException(message)));
-                endpoint.awaitEnd();
-                sidecar.await(() -> sidecar.sidecar.pendingCount() == 0 && sidecar.server.connections() == 0);
+                endpoint.awaitClose();
+                sidecar.await(() -> sidecar.dispatcher.pendingCount() == 0 && sidecar.server.connections() == 0);
             }
             assertEquals(1, endpoint.requests.size());
         }
@@ -139,10 +139,10 @@
         try (FakeServer endpoint = new FakeServer(OK);
                 TestSidecar sidecar = new TestSidecar(
                         TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024, endpoint.address()),
-                        CrossingTest.NarrowSocket.class);
+                        SmallSendBufferSocket.class);
                 TestClient client = sidecar.client()) {
             String body = "x".repeat(ProtocolLimits.MAX_BODY_BYTES);
-            assertEquals(200, client.ask(TestRequests.submitWithBody(body)).status());
+            assertEquals(200, client.exchange(TestRequests.submitWithBody(body)).status());
             assertEquals(body.length(), endpoint.awaitRequest().body().length);
         }
     }
--- a/src/test/java/loadbalancer/upstream/InterruptedResponseTest.java
+++ b/src/test/java/loadbalancer/upstream/InterruptedResponseTest.java
@@ -21,8 +21,9 @@
 import java.nio.channels.SocketChannel;
 import java.nio.charset.StandardCharsets;
 import loadbalancer.protocol.ProtocolLimits;
-import loadbalancer.proxy.CrossingTest;
+import loadbalancer.testing.DeferredResponses;
 import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.SmallSendBufferSocket;
 import loadbalancer.testing.TestClient;
 import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.Test;
@@ -62,12 +63,12 @@
 
     @Test
     void failsResponseResetWithinBody() throws Exception {
-        CapturingScript script = new CapturingScript();
+        DeferredResponses script = new DeferredResponses();
         try (FakeServer endpoint = new FakeServer(script);
                 TestSidecar sidecar = sidecar(endpoint.address());
                 TestClient client = sidecar.client()) {
             client.send(TestClient.submit("50"));
-            FakeServer.Wire wire = script.awaitWire();
+            FakeServer.Connection wire = script.awaitRequest();
             long before = sidecar.call(sidecar.activity::socketEvents);
             wire.text(HEAD + "who ");
             sidecar.await(() -> sidecar.activity.socketEvents() > before);
@@ -94,7 +95,7 @@
                         connection.shutdownOutput();
                     }
                 }
-                TestClient.Answer answer = client.read();
+                TestClient.Response answer = client.read();
                 assertEquals(status, answer.status());
                 assertEquals(status == 200 ? "who knows" : "", answer.body());
             }
@@ -110,7 +111,7 @@
                         TestSidecar.config("127.0.0.1:0", FakeServer.refusing(), 1024, endpoint.address()),
                         BrokenRouteSocket.class);
                 TestClient client = sidecar.client()) {
-            assertFailed(client.ask(TestClient.submit("50")));
+            assertFailed(client.exchange(TestClient.submit("50")));
             assertEquals(1, endpoint.requests.size());
         }
     }
@@ -123,7 +124,7 @@
             endpoint.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             String config = TestSidecar.config(
                     "127.0.0.1:0", FakeServer.refusing(), 1024, "127.0.0.1:" + endpoint.getLocalPort());
-            try (TestSidecar sidecar = new TestSidecar(config, CrossingTest.NarrowSocket.class);
+            try (TestSidecar sidecar = new TestSidecar(config, SmallSendBufferSocket.class);
                     TestClient client = sidecar.client()) {
                 client.send(TestRequests.submitWithBody("x".repeat(ProtocolLimits.MAX_BODY_BYTES)));
                 try (Socket connection = endpoint.accept()) {
--- a/src/test/java/loadbalancer/upstream/RandomEndingsTest.java
+++ b/src/test/java/loadbalancer/upstream/RandomEndingsTest.java
@@ -42,7 +42,7 @@
     private final Map<String, Sent> sent = new ConcurrentHashMap<>();
     private final AtomicInteger served = new AtomicInteger();
 
-    private void respond(long seed, FakeServer.Request request, FakeServer.Wire wire) throws IOException {
+    private void respond(long seed, FakeServer.Request request, FakeServer.Connection wire) throws IOException {
         String id = request.headers().get("request-id");
         Random random = new Random(seed ^ id.hashCode());
         List<String> pieces = new ArrayList<>(List.of("HTTP/1.1 200 OK\r\n", "\r\n"));
@@ -68,7 +68,7 @@
         try (TestClient client = sidecar.client()) {
             for (int i = 0; i < REQUESTS_EACH; i++) {
                 String request = TestClient.submit("50");
-                TestClient.Answer answer = client.ask(request);
+                TestClient.Response answer = client.exchange(request);
                 String id = request.replaceAll("(?s).*Request-Id: (\\S+).*", "$1");
                 assertAnswerMatches(sent.get(id), answer);
             }
@@ -76,7 +76,7 @@
         return null;
     }
 
-    private void assertAnswerMatches(Sent response, TestClient.Answer answer) {
+    private void assertAnswerMatches(Sent response, TestClient.Response answer) {
         if (response == null) {
             assertEquals(503, answer.status(), "never sent");
         } else if (response.ending == Ending.RESET) {
@@ -103,9 +103,9 @@
                 running.add(clients.submit(() -> sendRequests(sidecar)));
             }
             for (Future<Void> client : running) {
-                client.get(FakeServer.PATIENCE_S, TimeUnit.SECONDS);
+                client.get(FakeServer.TIMEOUT_SECONDS, TimeUnit.SECONDS);
             }
-            sidecar.await(() -> sidecar.sidecar.pendingCount() == 0);
+            sidecar.await(() -> sidecar.dispatcher.pendingCount() == 0);
             assertTrue(served.get() > 0);
         } finally {
             clients.shutdownNow();
