--- a/src/main/java/loadbalancer/simulator/WireDecimals.java
+++ b/src/main/java/loadbalancer/simulator/WireDecimals.java
@@ -17,29 +17,32 @@
     static double parse(byte[] bytes, int from, int to) {
         long digits = 0;
         int digitCount = 0;
-        int decimals = 0;
-        boolean afterPoint = false;
+        int pointAt = -1;
         boolean negative = from < to && bytes[from] == '-';
         for (int i = negative ? from + 1 : from; i < to; i++) {
             byte character = bytes[i];
-            if (character == '.' && !afterPoint) {
-                afterPoint = true;
+            if (character == '.' && pointAt < 0) {
+                pointAt = i;
             } else if (isDigit(character)) {
                 digits = digits * RADIX + (character - '0');
                 digitCount++;
-                decimals += afterPoint ? 1 : 0;
             } else {
                 return parseAsString(bytes, from, to);
             }
         }
-        boolean exact = digitCount > 0 && digitCount <= MAX_DIGITS && decimals <= MAX_DECIMALS;
-        if (!exact) {
+        int decimals = pointAt < 0 ? 0 : to - pointAt - 1;
+        if (!isExact(digitCount, decimals)) {
             return parseAsString(bytes, from, to);
         }
         double value = decimals > 0 ? digits / POWERS_OF_TEN[decimals] : digits;
         return negative ? -value : value;
     }
 
+    /** True if a {@code long} and one division give the number that {@link Double#parseDouble} would. */
+    private static boolean isExact(int digitCount, int decimals) {
+        return digitCount > 0 && digitCount <= MAX_DIGITS && decimals <= MAX_DECIMALS;
+    }
+
     private static boolean isDigit(byte character) {
         return character >= '0' && character <= '9';
     }
--- a/src/test/java/loadbalancer/discovery/SidecarDiscoveryTest.java
+++ b/src/test/java/loadbalancer/discovery/SidecarDiscoveryTest.java
@@ -172,18 +172,14 @@
                     oldCall.set(wire);
                     wire.text(HEAD + line(""));
                 });
-                FakeServer newDiscovery = new FakeServer((request, wire) -> {
-                    await(sendList);
-                    wire.text(HEAD + line(TestSidecar.list(7, true, TestSidecar.host("s1", next.address(), "ready"))));
-                });
+                FakeServer newDiscovery = discoveryListing(next, sendList);
                 TestSidecar sidecar = new TestSidecar(oldDiscovery.address(), endpoint.address())) {
             oldDiscovery.awaitRequest();
             Path file = directory.resolve("c.json");
-            ConfigurationReload reload =
-                    new ConfigurationReload(file.toString(), new ObjectMapper(), sidecar.discovery, log::add);
+            ConfigurationReload reload = reload(file, sidecar, log);
             String valid = TestSidecar.config("127.0.0.1:0", newDiscovery.address(), 1024);
-            rejectInvalidFiles(sidecar, reload, file, valid.replace(newDiscovery.address(), "nowhere"));
-            assertRejectedReloads(3, log);
+            String invalid = valid.replace(newDiscovery.address(), "nowhere");
+            assertEquals(3, rejectedReloads(sidecar, reload, file, invalid, log));
             assertEquals(0, newDiscovery.connections());
 
             // Two reloads in a row migrate once; what the old watch sent is read too late, for the loop is busy.
@@ -206,20 +202,29 @@
         }
     }
 
-    private static void assertRejectedReloads(int expected, List<String> log) {
-        long rejected = log.stream()
-                .filter(line -> line.contains("configuration reload rejected"))
-                .count();
-        assertEquals(expected, rejected);
+    /** A discovery service that lists this endpoint once the latch is released. */
+    private static FakeServer discoveryListing(FakeServer endpoint, CountDownLatch sendList) throws IOException {
+        return new FakeServer((request, wire) -> {
+            await(sendList);
+            wire.text(HEAD + line(TestSidecar.list(7, true, TestSidecar.host("s1", endpoint.address(), "ready"))));
+        });
+    }
+
+    private static ConfigurationReload reload(Path file, TestSidecar sidecar, List<String> log) {
+        return new ConfigurationReload(file.toString(), new ObjectMapper(), sidecar.discovery, log::add);
     }
 
-    /** Reloads a missing file, one that is not JSON, and one with this text. */
-    private static void rejectInvalidFiles(TestSidecar sidecar, ConfigurationReload reload, Path file, String invalid)
+    /** Reloads a missing file, one that is not JSON, and one with this text; returns how many were rejected. */
+    private static long rejectedReloads(
+            TestSidecar sidecar, ConfigurationReload reload, Path file, String invalid, List<String> log)
             throws Exception {
         sidecar.group.next().submit(reload).get();
         for (String text : List.of("{", invalid)) {
             Files.writeString(file, text);
             sidecar.group.next().submit(reload).get();
         }
+        return log.stream()
+                .filter(line -> line.contains("configuration reload rejected"))
+                .count();
     }
 }
