--- a/src/test/java/loadbalancer/downstream/DescriptorExhaustionTest.java
+++ b/src/test/java/loadbalancer/downstream/DescriptorExhaustionTest.java
@@ -9,6 +9,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.ProgramClassPath;
 import loadbalancer.testing.TestClient;
 import loadbalancer.testing.TestSidecar;
 import org.junit.jupiter.api.io.TempDir;
@@ -82,7 +83,7 @@
                 "-Xmx48m",
                 "-XX:MaxDirectMemorySize=32m",
                 "-cp",
-                System.getProperty("java.class.path"),
+                ProgramClassPath.asArgument(),
                 "loadbalancer.Main",
                 "serve");
         builder.environment().put("PROXY_CONFIG", file.toString());
--- a/src/test/java/loadbalancer/lifecycle/ProgramJar.java
+++ b/src/test/java/loadbalancer/lifecycle/ProgramJar.java
@@ -1,19 +1,18 @@
 package loadbalancer.lifecycle;
 
-import java.io.File;
 import java.io.IOException;
 import java.net.URISyntaxException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.HashSet;
-import java.util.List;
 import java.util.Set;
 import java.util.jar.JarEntry;
 import java.util.jar.JarFile;
 import java.util.jar.JarOutputStream;
 import java.util.stream.Stream;
 import loadbalancer.Main;
+import loadbalancer.testing.ProgramClassPath;
 
 /**
  * Writes the classes under test and their libraries into one jar, as the package has them, because the JVM archives no
@@ -21,7 +20,6 @@
  */
 final class ProgramJar implements AutoCloseable {
     private static final String MANIFEST = "Manifest-Version: 1.0\nMain-Class: loadbalancer.Main\n\n";
-    private static final List<String> LIBRARIES = List.of("netty", "jackson");
 
     private final Set<String> entries = new HashSet<>();
     private final JarOutputStream output;
@@ -35,10 +33,8 @@
         try (ProgramJar program = new ProgramJar(jar)) {
             program.add(JarFile.MANIFEST_NAME, MANIFEST.getBytes(StandardCharsets.UTF_8));
             program.addProgram();
-            for (String part : System.getProperty("java.class.path").split(File.pathSeparator)) {
-                if (part.endsWith(".jar") && LIBRARIES.stream().anyMatch(part::contains)) {
-                    program.addLibrary(part);
-                }
+            for (String library : ProgramClassPath.libraries()) {
+                program.addLibrary(library);
             }
         }
     }
--- a/src/test/java/loadbalancer/lifecycle/ProgramProcess.java
+++ b/src/test/java/loadbalancer/lifecycle/ProgramProcess.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.testing.FakeServer;
+import loadbalancer.testing.ProgramClassPath;
 import loadbalancer.testing.TestClient;
 
 /** The program as a process of its own, which {@link #close} ends by force. */
@@ -45,7 +46,7 @@
         List<String> command = new ArrayList<>();
         command.add(java());
         command.addAll(javaOptions);
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "loadbalancer.Main"));
+        command.addAll(List.of("-cp", ProgramClassPath.asArgument(), "loadbalancer.Main"));
         command.addAll(List.of(arguments));
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().remove(CONFIGURATION_VARIABLE);
