--- a/src/test/java/loadbalancer/policy/RandomPolicyRun.java
+++ b/src/test/java/loadbalancer/policy/RandomPolicyRun.java
@@ -54,13 +54,13 @@
         for (int i = 0; i < count; i++) {
             Idempotency idempotency = Idempotency.values()[random.nextInt(3)];
             DeduplicationScope scope = DeduplicationScope.values()[random.nextInt(3)];
-            double objective = 100 + random.nextInt(900);
+            double objectiveMillis = 100 + random.nextInt(900);
             classes.add(new RequestClass(
                     "class" + i,
                     1 + random.nextInt(9),
                     random.nextInt(2) * 0.3,
-                    objective,
-                    objective + random.nextInt(2000),
+                    objectiveMillis,
+                    objectiveMillis + random.nextInt(2000),
                     idempotency,
                     scope,
                     300 + random.nextInt(3000),
@@ -94,11 +94,11 @@
 
     private void playEvents() {
         policy.start(now);
-        list(random.nextBoolean() ? WatchEvent.STALE_SNAPSHOT : WatchEvent.SNAPSHOT);
+        sendList(random.nextBoolean() ? WatchEvent.STALE_SNAPSHOT : WatchEvent.SNAPSHOT);
         for (int i = 0; i < EVENTS; i++) {
             now += random.nextInt(25) == 0 ? random.nextInt(2500) : random.nextInt(15);
             wakeUpTo(now);
-            event(i, random.nextInt(1000));
+            playEvent(i, random.nextInt(1000));
         }
         wakeUpTo(now + 5000);
     }
@@ -112,25 +112,25 @@
         now = Math.max(resume, until);
     }
 
-    private void event(int number, int kind) {
+    private void playEvent(int number, int kind) {
         if (kind < 450) {
-            request(number);
+            arrive(number);
         } else if (kind < 870) {
-            outcome();
+            endAttempt();
         } else if (kind < 900) {
-            abandon();
+            disconnectClient();
         } else if (kind < 915) {
-            stream();
+            startStreaming();
         } else if (kind < 945) {
-            probed();
+            endProbe();
         } else if (kind < 950) {
             policy.messageReceived(now, 2, new byte[random.nextInt(9)]);
         } else {
-            listEvent(kind);
+            sendWatchEvent(kind);
         }
     }
 
-    private void request(int number) {
+    private void arrive(int number) {
         int tenants = settings.tenants().size();
         PolicyRequest request = new PolicyRequest(
                 number,
@@ -146,7 +146,7 @@
         }
     }
 
-    private void outcome() {
+    private void endAttempt() {
         if (pending.isEmpty()) {
             return;
         }
@@ -159,12 +159,12 @@
         if (finished) {
             unanswered.remove(ended.request);
         }
-        double took = now - ended.sentAt;
-        policy.attemptEnded(now, ended.request, ended.attempt, outcome, took, finished, report());
+        double durationMillis = now - ended.sentAt;
+        policy.attemptEnded(now, ended.request, ended.attempt, outcome, durationMillis, finished, report());
         if (random.nextInt(40) == 0) {
-            // Told twice, and for attempts that never were: all of it is ignored.
-            policy.attemptEnded(now, ended.request, ended.attempt, outcome, took, true, null);
-            policy.attemptEnded(now, ended.request, ended.attempt + 9, outcome, took, true, null);
+            // A duplicate, and the end of an attempt that never was: the policy ignores both.
+            policy.attemptEnded(now, ended.request, ended.attempt, outcome, durationMillis, true, null);
+            policy.attemptEnded(now, ended.request, ended.attempt + 9, outcome, durationMillis, true, null);
         }
     }
 
@@ -180,13 +180,13 @@
         };
     }
 
-    private void abandon() {
+    private void disconnectClient() {
         if (!unanswered.isEmpty()) {
             policy.clientDisconnected(now, unanswered.remove(random.nextInt(unanswered.size())));
         }
     }
 
-    private void stream() {
+    private void startStreaming() {
         if (!pending.isEmpty()) {
             Pending streaming = pending.get(random.nextInt(pending.size()));
             unanswered.remove(streaming.request);
@@ -194,19 +194,19 @@
         }
     }
 
-    private void probed() {
+    private void endProbe() {
         AttemptOutcome[] all = AttemptOutcome.values();
         String endpoint = "s" + random.nextInt(endpoints + 2);
         policy.probeEnded(now, endpoint, all[random.nextInt(all.length)], random.nextInt(50), report());
     }
 
-    private void listEvent(int kind) {
+    private void sendWatchEvent(int kind) {
         if (kind < 970) {
-            list(WatchEvent.DELTA);
+            sendList(WatchEvent.DELTA);
         } else if (kind < 978) {
-            list(WatchEvent.SNAPSHOT);
+            sendList(WatchEvent.SNAPSHOT);
         } else if (kind < 980) {
-            list(WatchEvent.STALE_SNAPSHOT);
+            sendList(WatchEvent.STALE_SNAPSHOT);
         } else if (kind < 990) {
             policy.endpointsChanged(now, WatchEvent.FAILED, List.of());
         } else if (kind < 995) {
@@ -216,7 +216,7 @@
         }
     }
 
-    private void list(WatchEvent kind) {
+    private void sendList(WatchEvent kind) {
         List<Endpoint> entries = new ArrayList<>();
         for (int i = 0; i < endpoints; i++) {
             if (kind != WatchEvent.DELTA || random.nextInt(6) == 0) {
@@ -229,7 +229,7 @@
         policy.endpointsChanged(now, kind, entries);
     }
 
-    private void line(String action, Object... details) {
+    private void writeLine(String action, Object... details) {
         text.append(Math.round(now * ROUNDING)).append(' ').append(action);
         for (Object detail : details) {
             text.append(' ').append(detail instanceof Double number ? Math.round(number * ROUNDING) : detail);
@@ -238,51 +238,51 @@
     }
 
     @Override
-    public void forward(PolicyRequest request, String server, double within) {
-        pending.add(new Pending(request, attempts[(int) request.id()]++, server, now));
-        line("forward", request.id(), server, within);
+    public void forward(PolicyRequest request, String endpoint, double timeoutMillis) {
+        pending.add(new Pending(request, attempts[(int) request.id()]++, endpoint, now));
+        writeLine("forward", request.id(), endpoint, timeoutMillis);
     }
 
     @Override
     public void cancelAttempt(PolicyRequest request, int attempt) {
-        line("cancel", request.id(), attempt);
+        writeLine("cancel", request.id(), attempt);
     }
 
     @Override
-    public void reject(PolicyRequest request, double retryAfter) {
+    public void reject(PolicyRequest request, double retryAfterMillis) {
         unanswered.remove(request);
-        line("reject", request.id(), retryAfter);
+        writeLine("reject", request.id(), retryAfterMillis);
     }
 
     @Override
     public void fail(PolicyRequest request) {
         unanswered.remove(request);
-        line("fail", request.id());
+        writeLine("fail", request.id());
     }
 
     @Override
-    public void probe(String server) {
-        line("probe", server);
+    public void probe(String endpoint) {
+        writeLine("probe", endpoint);
     }
 
     @Override
     public void watchEndpoints() {
-        line("watch");
+        writeLine("watch");
     }
 
     @Override
     public void broadcast(byte[] message) {
-        line("broadcast", message.length);
+        writeLine("broadcast", message.length);
     }
 
     @Override
     public void scheduleWake(double at) {
         wakes.add(at);
-        line("wake", at);
+        writeLine("wake", at);
     }
 
     @Override
     public void log(String message) {
-        line("log");
+        writeLine("log");
     }
 }
