--- a/src/test/java/loadbalancer/policy/EndpointTurnoverTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointTurnoverTest.java
@@ -5,11 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.lang.reflect.Field;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.Queue;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
@@ -51,7 +49,7 @@
     }
 
     @Test
-    void forgetsEndpointsThatLeftTheList() throws ReflectiveOperationException {
+    void forgetsEndpointsThatLeftTheList() {
         PolicyHarness harness = harness(4, Endpoints.fleet(6), HIGH_PRIORITY);
         Queue<PolicyRequest> inFlight = new ArrayDeque<>();
         for (int round = 0; round < 500; round++) {
@@ -71,7 +69,7 @@
         for (PolicyRequest request : inFlight) {
             harness.endLastAttempt(60_000, request, AttemptOutcome.SUCCESS, 30);
         }
-        int known = knownEndpoints(harness);
+        int known = harness.knownEndpoints();
         assertTrue(known <= 6, "3000 endpoints came and went, known " + known);
     }
 
@@ -91,10 +89,4 @@
             harness.delta(now, Endpoints.removed(prefix + 2));
         }
     }
-
-    private static int knownEndpoints(PolicyHarness harness) throws ReflectiveOperationException {
-        Field field = LossThrottlingPolicy.class.getDeclaredField("nodes");
-        field.setAccessible(true);
-        return ((Map<?, ?>) field.get(harness.policy())).size();
-    }
 }
--- a/src/test/java/loadbalancer/policy/PolicyHarness.java
+++ b/src/test/java/loadbalancer/policy/PolicyHarness.java
@@ -46,10 +46,6 @@
         repeatRuleCheck = new RepeatRuleCheck(settings);
     }
 
-    LossThrottlingPolicy policy() {
-        return policy;
-    }
-
     // Events.
 
     void start(double time) {
@@ -208,6 +204,11 @@
         return lastRetryAfterMillis;
     }
 
+    /** Endpoints that the policy keeps state of. */
+    int knownEndpoints() {
+        return policy.knownEndpoints();
+    }
+
     int classCount() {
         return settings.classes().size();
     }
