--- a/src/main/java/loadbalancer/policy/RequestState.java
+++ b/src/main/java/loadbalancer/policy/RequestState.java
@@ -114,7 +114,7 @@
                                 requestClass, possiblyExecuted.endpoint().entry(), endpoint.entry());
     }
 
-    /** True if the client may be told to come back: nothing was executed, or a repeat does no harm. */
+    /** True if a retry by the client does no harm: nothing was executed, or it may be repeated. */
     boolean clientMayRetry() {
         return possiblyExecuted == null || RetryRules.clientMayRetry(requestClass);
     }
@@ -128,8 +128,8 @@
     }
 
     /**
-     * How long an attempt that begins now may take, in milliseconds; 0 means up to the deadline. One whose late
-     * response would be worthless and whose execution the client must not repeat ends at the latency objective.
+     * How long an attempt that begins now may take, in milliseconds; 0 means up to the deadline. It ends at the latency
+     * objective if a late response has no value and the client must not repeat the request.
      */
     double attemptTimeoutMillis(double nowMillis) {
         boolean endsAtObjective = requestClass.lateWeight() <= 0 && !RetryRules.clientMayRetry(requestClass);
