--- a/src/test/java/loadbalancer/policy/ClassErrorRatesTest.java
+++ b/src/test/java/loadbalancer/policy/ClassErrorRatesTest.java
@@ -6,6 +6,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** How the error rate of a class rises, falls and drops requests. */
 class ClassErrorRatesTest {
     private static final int DRAWS = 10_000;
 
--- a/src/test/java/loadbalancer/policy/ConcurrencyGuardTest.java
+++ b/src/test/java/loadbalancer/policy/ConcurrencyGuardTest.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** What the subset and an endpoint may have in flight before requests are dropped. */
 class ConcurrencyGuardTest {
     private static final double NOW = 1000;
 
--- a/src/test/java/loadbalancer/policy/ConcurrencyLimitTest.java
+++ b/src/test/java/loadbalancer/policy/ConcurrencyLimitTest.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Bounds on the attempts in flight, which act before the first outcome tells of a stall. */
+/** Bounds on the attempts in flight, which act before the first outcome shows a stall. */
 class ConcurrencyLimitTest {
     private static PolicyHarness harness() {
         return PolicyHarness.started(SettingsBuilder.forClasses(HIGH_PRIORITY).build(), 11, Endpoints.fleet(4));
--- a/src/test/java/loadbalancer/policy/DiscoveryPollScheduleTest.java
+++ b/src/test/java/loadbalancer/policy/DiscoveryPollScheduleTest.java
@@ -7,6 +7,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** When the schedule polls after a start, a failure, a move and an idle timeout. */
 class DiscoveryPollScheduleTest {
     private static final int SEEDS = 100;
     private static final double DEADLINE_MILLIS = 10_000;
@@ -104,6 +105,23 @@
         }
     }
 
+    @Test
+    void usesAllThatIsLeftOfTheCycle() {
+        double latestMillis = 0;
+        for (int seed = 0; seed < SEEDS; seed++) {
+            DiscoveryPollSchedule schedule = schedule(1, DEADLINE_MILLIS, seed);
+            schedule.start(NOW);
+            schedule.failed(NOW);
+            schedule.failed(NOW);
+            double polledAt = poll(schedule);
+            // The backoff is a second by now, and the longest wait 1510 ms, of which 500 ms are left.
+            schedule.failed(polledAt + 2000);
+            assertNextPollWithin(polledAt + 2000 + 500 * 500.0 / 1510, polledAt + 2500);
+            latestMillis = Math.max(latestMillis, actions.lastWake() - polledAt);
+        }
+        assertTrue(latestMillis > 2450, "the latest begins after " + latestMillis);
+    }
+
     @Test
     void receivedListCancelsPollAndEndsOutage() {
         DiscoveryPollSchedule schedule = schedule(1, DEADLINE_MILLIS, 1);
--- a/src/test/java/loadbalancer/policy/DropControllerTest.java
+++ b/src/test/java/loadbalancer/policy/DropControllerTest.java
@@ -4,6 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** The steps of the drop percentage, by figures worked out from its constants. */
 class DropControllerTest {
     private static final double FULL_PACE = 1;
 
@@ -43,6 +44,15 @@
         assertDropFraction(0.3);
     }
 
+    @Test
+    void keepsPartOfEvidenceFromPeriodToPeriod() {
+        drop.evidence().add(1, 2);
+        step();
+        step();
+        // 0.7 of the evidence is left in the second: 1.4 of 1.4 and 2 accepted ones.
+        assertDropFraction(0.3 + 0.7 * (1.4 / 3.4 - 0.2));
+    }
+
     @Test
     void fallsByPartOfPassingTrafficWhenIdle() {
         drop.dropAll();
--- a/src/test/java/loadbalancer/policy/EndpointTableTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointTableTest.java
@@ -10,6 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Which endpoints are known and ready, and what a restart clears. */
 class EndpointTableTest {
     private final EndpointTable table = new EndpointTable(new RankHash(1), 1);
 
--- a/src/test/java/loadbalancer/policy/InFlightAttemptsTest.java
+++ b/src/test/java/loadbalancer/policy/InFlightAttemptsTest.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Which attempts in flight count as overtaken, as stalled and as late. */
 class InFlightAttemptsTest {
     private final InFlightAttempts inFlight = new InFlightAttempts();
     private final EndpointState endpoint = PolicyStates.readyEndpoint("s0");
--- a/src/test/java/loadbalancer/policy/LatencyBaselineTest.java
+++ b/src/test/java/loadbalancer/policy/LatencyBaselineTest.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** How the usual latency follows the responses, and what is late by it. */
 class LatencyBaselineTest {
     /** With an objective of 500 ms the usual latency is taken to be 150 ms at first. */
     private final LatencyBaseline latencies = new LatencyBaseline(List.of(RequestClasses.HIGH_PRIORITY));
--- a/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
+++ b/src/test/java/loadbalancer/policy/OutcomeRecorderTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
+/** What each outcome counts for. */
 class OutcomeRecorderTest {
     /** The usual latency is 150 ms at first, and a response is fully late from 750 ms on. */
     private final LatencyBaseline latencies = new LatencyBaseline(List.of(RequestClasses.HIGH_PRIORITY));
--- a/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/policy/OutlierDetectorTest.java
@@ -6,6 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** After how many consecutive failures an endpoint is ejected, and for how long. */
 class OutlierDetectorTest {
     private final OutlierDetector detector = new OutlierDetector();
 
@@ -17,6 +18,16 @@
         assertTrue(detector.ejected());
     }
 
+    @Test
+    void ejectsBelowLikelihoodOfTwoPercent() {
+        // A healthy subset counts as failing a tenth.
+        detector.recordFailure(0);
+        assertFalse(detector.recordFailure(0.21));
+        detector.markResponsive();
+        detector.recordFailure(0);
+        assertTrue(detector.recordFailure(0.19));
+    }
+
     @Test
     void needsMoreFailuresWhenSubsetFailsToo() {
         // Half of the subset's outcomes: 1/32 after five failures, 1/64 after six; 0.02 ejects.
--- a/src/test/java/loadbalancer/policy/PolicyHarness.java
+++ b/src/test/java/loadbalancer/policy/PolicyHarness.java
@@ -128,7 +128,7 @@
         policy.messageReceived(time, from, message);
     }
 
-    /** Wakes the policy each time that it asked for, up to this one. */
+    /** Wakes the policy each time that it scheduled, up to this one. */
     void runTo(double until) {
         while (!wakes.isEmpty() && wakes.peek() <= until) {
             now = wakes.poll();
--- a/src/test/java/loadbalancer/policy/PriorityMixTest.java
+++ b/src/test/java/loadbalancer/policy/PriorityMixTest.java
@@ -6,6 +6,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** How a drop percentage is split over the priority levels, and which level a request has. */
 class PriorityMixTest {
     private static final int HIGH = 0;
     private static final int LOW = 1;
@@ -44,6 +45,19 @@
         assertEquals(1, mix.dropFraction(1, 1), 1e-9);
     }
 
+    @Test
+    void olderRequestsCountLess() {
+        PriorityMix mix = mix(twoClasses());
+        record(mix, LOW, -1, 4);
+        mix.endPeriod();
+        record(mix, HIGH, -1, 4);
+        mix.endPeriod();
+        // 0.98 of the first four are left.
+        double lowFraction = 3.92 / 7.92;
+        assertEquals(0.3 / lowFraction, mix.dropFraction(0, 0.3), 1e-9);
+        assertEquals((0.75 - lowFraction) / (1 - lowFraction), mix.dropFraction(1, 0.75), 1e-9);
+    }
+
     @Test
     void levelWithoutTrafficIsDroppedWhenHigherOnesAre() {
         PriorityMix mix = mix(twoClasses());
--- a/src/test/java/loadbalancer/policy/ProbeSchedulerTest.java
+++ b/src/test/java/loadbalancer/policy/ProbeSchedulerTest.java
@@ -5,6 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** How many probes requests pay for, and which endpoints get them. */
 class ProbeSchedulerTest {
     private static final double MAX_REPORT_AGE_MILLIS = 500;
 
--- a/src/test/java/loadbalancer/policy/RankHashTest.java
+++ b/src/test/java/loadbalancer/policy/RankHashTest.java
@@ -8,6 +8,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** The order in which a sidecar prefers endpoints. */
 class RankHashTest {
     @Test
     void rankDependsOnSaltAndIdOnly() {
--- a/src/test/java/loadbalancer/policy/ReportedLoadTest.java
+++ b/src/test/java/loadbalancer/policy/ReportedLoadTest.java
@@ -6,6 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** What load reports and probes say of an endpoint. */
 class ReportedLoadTest {
     private final ReportedLoad load = new ReportedLoad();
 
@@ -40,6 +41,8 @@
         assertEquals(180, load.capacityPerSecond(), 1e-9);
         load.record(report(0.09, 50), 0);
         assertEquals(180, load.capacityPerSecond(), 1e-9);
+        load.record(report(0.1, 10), 0);
+        assertEquals(164, load.capacityPerSecond(), 1e-9);
         load.resetCapacity();
         assertEquals(0, load.capacityPerSecond());
     }
--- a/src/test/java/loadbalancer/policy/RequestStateTest.java
+++ b/src/test/java/loadbalancer/policy/RequestStateTest.java
@@ -8,6 +8,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** When a request may be repeated, and how long an attempt may take. */
 class RequestStateTest {
     private final EndpointState first = PolicyStates.endpoint(Endpoints.inZone("s0", "a"));
     private final EndpointState sameZone = PolicyStates.endpoint(Endpoints.inZone("s1", "a"));
--- a/src/test/java/loadbalancer/policy/RetryBudgetTest.java
+++ b/src/test/java/loadbalancer/policy/RetryBudgetTest.java
@@ -6,6 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** How retry tokens are earned and saved. */
 class RetryBudgetTest {
     private final RetryBudget budget = new RetryBudget();
 
--- a/src/test/java/loadbalancer/policy/RetryRulesTest.java
+++ b/src/test/java/loadbalancer/policy/RetryRulesTest.java
@@ -6,6 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** What each idempotency and deduplication scope allows. */
 class RetryRulesTest {
     private static final double WINDOW_MILLIS = 5000;
 
--- a/src/test/java/loadbalancer/policy/SlowStartBudgetTest.java
+++ b/src/test/java/loadbalancer/policy/SlowStartBudgetTest.java
@@ -7,6 +7,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** How the tokens of an endpoint that warms up follow its age, the warm rate and the overload rules. */
 class SlowStartBudgetTest {
     private static final double START = 1000;
     private static final double WARM_PER_MILLI = 0.01;
@@ -100,7 +101,7 @@
         EndpointState warm = PolicyStates.readyEndpoint("s1");
         PolicyStates.forwardAtRate(warm, 1);
         EndpointState shutOut = PolicyStates.readyEndpoint("s2");
-        shutOut.drop().dropAll();
+        dropHalf(shutOut);
         EndpointState starting = startingEndpoint();
         assertTrue(budget.warmRateUnknown());
         budget.learnWarmRate(START, new EndpointState[] {shutOut, starting});
@@ -112,6 +113,12 @@
         assertTrue(takeAsFirstChoice(budget, START + 90, starting));
     }
 
+    private static void dropHalf(EndpointState endpoint) {
+        endpoint.drop().evidence().add(1, 8);
+        endpoint.drop().step(new OutcomeEvidence(), new OutcomeEvidence(), 1, 1);
+        assertEquals(0.5, endpoint.drop().dropFraction());
+    }
+
     @Test
     void keepsWarmRateWhenNoWarmEndpointIsLeft() {
         EndpointState warm = PolicyStates.readyEndpoint("s1");
--- a/src/test/java/loadbalancer/policy/SubsetSelectorTest.java
+++ b/src/test/java/loadbalancer/policy/SubsetSelectorTest.java
@@ -10,6 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Which endpoints are in the subset, and how many. */
 class SubsetSelectorTest {
     private static final double PERIOD_MILLIS = 50;
 
@@ -83,6 +84,16 @@
         assertTrue(smallFleet.sizeOutdated());
     }
 
+    @Test
+    void takesTwoForEachAttemptInFlightWhileConnectionsAreFree() {
+        List<EndpointState> endpoints = PolicyStates.rankedEndpoints(30);
+        SubsetSelector selector = selector(4, endpoints);
+        // A rise counts by a fifth in a period.
+        selector.endPeriod(0, 30);
+        selector.select(0, new ArrayList<>(endpoints));
+        assertEquals(12, selector.ranked().length);
+    }
+
     @Test
     void comparesSizesWithLargestOfSubset() {
         List<EndpointState> endpoints = List.of(
