--- a/src/main/java/loadbalancer/proxy/PendingRequest.java
+++ b/src/main/java/loadbalancer/proxy/PendingRequest.java
@@ -185,7 +185,7 @@
         return true;
     }
 
-    // The policy follows the same rule; here it holds also if the policy has a fault.
+    // The policy follows the same rule; here it is kept even if the policy has a fault.
     private boolean mayReject() {
         if (RetryRules.clientMayRetry(requestClass())) {
             return true;
--- a/src/test/java/loadbalancer/policy/RandomPolicyRun.java
+++ b/src/test/java/loadbalancer/policy/RandomPolicyRun.java
@@ -76,15 +76,7 @@
                 classes,
                 tenants,
                 tenantCount == 0 ? 1 : 0.2,
-                new PolicyLimits(
-                        1 + random.nextInt(5),
-                        random.nextBoolean(),
-                        random.nextBoolean(),
-                        random.nextBoolean(),
-                        random.nextBoolean(),
-                        random.nextBoolean(),
-                        1000,
-                        0.002),
+                randomLimits(),
                 new OperatorRules(1000, 3, 1000 + random.nextInt(2000), 0.2, 5000 + random.nextInt(20000), 8000),
                 LoadReporting.values()[random.nextInt(3)],
                 random.nextBoolean(),
@@ -92,6 +84,18 @@
                 random.nextInt(sidecars));
     }
 
+    private PolicyLimits randomLimits() {
+        return new PolicyLimits(
+                1 + random.nextInt(5),
+                random.nextBoolean(),
+                random.nextBoolean(),
+                random.nextBoolean(),
+                random.nextBoolean(),
+                random.nextBoolean(),
+                1000,
+                0.002);
+    }
+
     private void playEvents() {
         policy.start(now);
         sendList(random.nextBoolean() ? WatchEvent.STALE_SNAPSHOT : WatchEvent.SNAPSHOT);
