--- a/src/main/java/loadbalancer/lifecycle/ClassArchiveTraining.java
+++ b/src/main/java/loadbalancer/lifecycle/ClassArchiveTraining.java
@@ -6,6 +6,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import loadbalancer.configuration.ConfigurationException;
 import loadbalancer.protocol.Decimals;
 
 /**
@@ -29,17 +30,21 @@
     }
 
     /**
-     * Plays all scenarios, once for each way that endpoint lists come. Failures are printed to standard error.
+     * Plays all scenarios, once for each way that endpoint lists come. One that fails is printed to standard error.
      *
      * @param path the configuration file whose settings the trained sidecar uses
+     * @throws ConfigurationException if the file can't be used
+     * @throws StartupException if the sidecar can't start
      */
-    public static void run(String path) {
+    public static void run(String path) throws ConfigurationException, StartupException {
         try {
             Path file = Files.createTempFile("training", ".json");
             for (boolean pushed : new boolean[] {false, true}) {
                 new ClassArchiveTraining(Path.of(path), file, pushed).play();
             }
             Files.delete(file);
+        } catch (ConfigurationException | StartupException e) {
+            throw e;
         } catch (Exception e) {
             TrainingStep.reportLeftOut(e);
         }
--- a/src/test/java/loadbalancer/MainTest.java
+++ b/src/test/java/loadbalancer/MainTest.java
@@ -41,7 +41,11 @@
     }
 
     private void failsWithOneLine(Path configuration) throws Exception {
-        try (ProgramProcess program = ProgramProcess.start(errors, configuration, "serve")) {
+        failsWithOneLine(configuration, "serve");
+    }
+
+    private void failsWithOneLine(Path configuration, String command) throws Exception {
+        try (ProgramProcess program = ProgramProcess.start(errors, configuration, command)) {
             assertEquals(1, program.awaitExit());
             assertEquals(1, program.errorLines().size(), program.errorText());
         }
@@ -95,6 +99,12 @@
         failsWithOneLine(write("{"));
     }
 
+    @Test
+    void trainingFailsOnUnusableConfiguration() throws Exception {
+        String invalid = validConfiguration("127.0.0.1:0").replace("\"cold\":24000", "\"cold\":\"x\"");
+        failsWithOneLine(write(invalid), "train-class-archive");
+    }
+
     @Test
     void failsOnDuplicateRequestClass() throws Exception {
         failsWithOneLine(write(validConfiguration("127.0.0.1:0").replace("\"submit\"", "\"status\"")));
--- a/src/test/java/loadbalancer/proxy/AttemptOutcomeTest.java
+++ b/src/test/java/loadbalancer/proxy/AttemptOutcomeTest.java
@@ -5,10 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.net.Socket;
 import java.nio.charset.StandardCharsets;
-import java.util.Set;
-import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 import loadbalancer.testing.FakeServer;
 import loadbalancer.testing.TestClient;
@@ -95,15 +92,7 @@
 
     @Test
     void failsNonIdempotentRequestAfterResetOnReusedConnection() throws Exception {
-        Set<Socket> used = ConcurrentHashMap.newKeySet();
-        FakeServer.Script resetsSecondUse = (request, wire) -> {
-            if (used.add(wire.socket())) {
-                wire.ok("done");
-            } else {
-                wire.reset();
-            }
-        };
-        try (ProxySetup setup = ProxySetup.withEndpoints(resetsSecondUse)) {
+        try (ProxySetup setup = ProxySetup.withEndpoints(ProxySetup.resettingSecondUse())) {
             int status = setup.client().exchange(TestClient.submit("5")).status();
             for (int i = 0; status == 200 && i < 1000; i++) {
                 status = setup.client().exchange(TestClient.submit("5")).status();
--- a/src/test/java/loadbalancer/proxy/ConnectionReuseTest.java
+++ b/src/test/java/loadbalancer/proxy/ConnectionReuseTest.java
@@ -4,9 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.netty.channel.socket.nio.NioSocketChannel;
-import java.net.Socket;
-import java.util.Set;
-import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import loadbalancer.testing.FakeServer;
 import loadbalancer.testing.TestClient;
@@ -48,15 +45,7 @@
     @Test
     void stopsReusingConnectionsIdleLongerThanEndpointAllows() throws Exception {
         // It breaks any connection that is used a second time, as if that had been idle for too long.
-        Set<Socket> used = ConcurrentHashMap.newKeySet();
-        FakeServer.Script resetsSecondUse = (request, wire) -> {
-            if (used.add(wire.socket())) {
-                wire.ok("done");
-            } else {
-                wire.reset();
-            }
-        };
-        try (ProxySetup setup = ProxySetup.withEndpoints(resetsSecondUse)) {
+        try (ProxySetup setup = ProxySetup.withEndpoints(ProxySetup.resettingSecondUse())) {
             assertEquals(200, setup.client().exchange(TestClient.submit("5")).status());
             long from = System.nanoTime();
             Thread.sleep(200);
--- a/src/test/java/loadbalancer/proxy/ProxySetup.java
+++ b/src/test/java/loadbalancer/proxy/ProxySetup.java
@@ -3,8 +3,11 @@
 import io.netty.channel.Channel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.io.IOException;
+import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.UnaryOperator;
 import loadbalancer.testing.FakeServer;
 import loadbalancer.testing.TestClient;
@@ -17,6 +20,18 @@
     /** An endpoint that never answers. */
     static final FakeServer.Script SILENT = (request, wire) -> {};
 
+    /** An endpoint that resets each connection which is used a second time. */
+    static FakeServer.Script resettingSecondUse() {
+        Set<Socket> used = ConcurrentHashMap.newKeySet();
+        return (request, wire) -> {
+            if (used.add(wire.socket())) {
+                wire.ok("done");
+            } else {
+                wire.reset();
+            }
+        };
+    }
+
     private final List<FakeServer> endpoints = new ArrayList<>();
     private final TestSidecar sidecar;
     private TestClient client;
