--- a/src/test/java/loadbalancer/upstream/CloseDelimitedResponseTest.java
+++ b/src/test/java/loadbalancer/upstream/CloseDelimitedResponseTest.java
@@ -76,50 +76,40 @@
 
     // The loop is blocked until head, body and end of stream have all come.
     private static void assertServedInOneTurn(String text, String body) throws Exception {
-        DeferredResponses script = new DeferredResponses();
-        try (FakeServer endpoint = new FakeServer(script);
-                TestSidecar sidecar = sidecar(endpoint.address());
-                TestClient client = sidecar.client()) {
-            client.send(TestClient.submit("50"));
-            FakeServer.Connection wire = script.awaitRequest();
-            sidecar.call(() -> {
-                wire.text(text);
-                wire.socket().close();
+        try (DeferredExchange exchange = DeferredExchange.begin()) {
+            exchange.sidecar.call(() -> {
+                exchange.connection.text(text);
+                exchange.connection.socket().close();
                 return null;
             });
-            assertServed(body, client.read());
+            assertServed(body, exchange.client.read());
         }
     }
 
     @ParameterizedTest
     @CsvSource({PAUSE_BELOW_STALL_MILLIS + ", 200", PAUSE_ABOVE_STALL_MILLIS + ", 502"})
     void failsResponseThatPausesForStallTimeout(long pauseMillis, int status) throws Exception {
-        DeferredResponses script = new DeferredResponses();
-        try (FakeServer endpoint = new FakeServer(script);
-                TestSidecar sidecar = sidecar(endpoint.address());
-                TestClient client = sidecar.client()) {
-            client.send(TestClient.submit("50"));
-            FakeServer.Connection wire = script.awaitRequest();
+        try (DeferredExchange exchange = DeferredExchange.begin()) {
             for (String piece : new String[] {HEAD, "in ", "three ", "pieces"}) {
-                long before = sidecar.call(sidecar.activity::socketEvents);
+                long before = exchange.sidecar.call(exchange.sidecar.activity::socketEvents);
                 try {
-                    wire.text(piece);
+                    exchange.connection.text(piece);
                 } catch (IOException stalled) {
                     break;
                 }
-                sidecar.await(() -> sidecar.activity.socketEvents() > before);
-                sidecar.advance(pauseMillis);
+                exchange.sidecar.await(() -> exchange.sidecar.activity.socketEvents() > before);
+                exchange.sidecar.advance(pauseMillis);
                 if (status != 200) {
                     break;
                 }
             }
             if (status == 200) {
-                wire.socket().shutdownOutput();
+                exchange.connection.socket().shutdownOutput();
             }
-            TestClient.Response answer = client.read();
+            TestClient.Response answer = exchange.client.read();
             assertEquals(status, answer.status());
             assertEquals(status == 200 ? "in three pieces" : "", answer.body());
-            endpoint.awaitClose();
+            exchange.endpoint.awaitClose();
         }
     }
 
@@ -215,24 +205,20 @@
     @ParameterizedTest
     @ValueSource(strings = {"full", "half", "reset"})
     void releasesRequestWhenResponseEndsAsClientLeaves(String how) throws Exception {
-        DeferredResponses script = new DeferredResponses();
-        try (FakeServer endpoint = new FakeServer(script);
-                TestSidecar sidecar = sidecar(endpoint.address());
-                TestClient leaving = sidecar.client()) {
-            leaving.send(TestClient.submit("50"));
-            FakeServer.Connection wire = script.awaitRequest();
-            sidecar.call(() -> {
-                wire.text(HEAD + "done");
-                wire.socket().close();
-                leaving.disconnect(how);
+        try (DeferredExchange exchange = DeferredExchange.begin()) {
+            exchange.sidecar.call(() -> {
+                exchange.connection.text(HEAD + "done");
+                exchange.connection.socket().close();
+                exchange.client.disconnect(how);
                 return null;
             });
-            sidecar.await(() -> sidecar.dispatcher.pendingCount() == 0 && sidecar.server.connections() == 0);
-            endpoint.script(OK);
-            try (TestClient client = sidecar.client()) {
+            exchange.sidecar.await(() ->
+                    exchange.sidecar.dispatcher.pendingCount() == 0 && exchange.sidecar.server.connections() == 0);
+            exchange.endpoint.script(OK);
+            try (TestClient client = exchange.sidecar.client()) {
                 assertServed("elsewhere", client.exchange(TestClient.submit("50")));
             }
-            assertEquals(2, endpoint.requests.size());
+            assertEquals(2, exchange.endpoint.requests.size());
         }
     }
 
--- a/src/test/java/loadbalancer/upstream/InterruptedResponseTest.java
+++ b/src/test/java/loadbalancer/upstream/InterruptedResponseTest.java
@@ -21,7 +21,6 @@
 import java.nio.channels.SocketChannel;
 import java.nio.charset.StandardCharsets;
 import loadbalancer.protocol.ProtocolLimits;
-import loadbalancer.testing.DeferredResponses;
 import loadbalancer.testing.FakeServer;
 import loadbalancer.testing.SmallSendBufferSocket;
 import loadbalancer.testing.TestClient;
@@ -63,18 +62,13 @@
 
     @Test
     void failsResponseResetWithinBody() throws Exception {
-        DeferredResponses script = new DeferredResponses();
-        try (FakeServer endpoint = new FakeServer(script);
-                TestSidecar sidecar = sidecar(endpoint.address());
-                TestClient client = sidecar.client()) {
-            client.send(TestClient.submit("50"));
-            FakeServer.Connection wire = script.awaitRequest();
-            long before = sidecar.call(sidecar.activity::socketEvents);
-            wire.text(HEAD + "who ");
-            sidecar.await(() -> sidecar.activity.socketEvents() > before);
-            wire.reset();
-            assertFailed(client.read());
-            assertEquals(1, endpoint.requests.size());
+        try (DeferredExchange exchange = DeferredExchange.begin()) {
+            long before = exchange.sidecar.call(exchange.sidecar.activity::socketEvents);
+            exchange.connection.text(HEAD + "who ");
+            exchange.sidecar.await(() -> exchange.sidecar.activity.socketEvents() > before);
+            exchange.connection.reset();
+            assertFailed(exchange.client.read());
+            assertEquals(1, exchange.endpoint.requests.size());
         }
     }
 
