--- a/src/main/java/loadbalancer/policy/RequestState.java
+++ b/src/main/java/loadbalancer/policy/RequestState.java
@@ -40,11 +40,6 @@
         return priorityLevel;
     }
 
-    /** The time up to which a response counts fully. */
-    double objectiveAtMillis() {
-        return objectiveAtMillis;
-    }
-
     /** The time at which the client gives up. */
     double deadlineAtMillis() {
         return deadlineAtMillis;
@@ -101,9 +96,7 @@
 
     /** True if an attempt may have been executed, and only endpoints of one scope would discard a repeat. */
     boolean boundToDeduplicationScope() {
-        return possiblyExecuted != null
-                && requestClass.idempotency() == Idempotency.WITH_KEY
-                && requestClass.deduplicationScope() != DeduplicationScope.ALL;
+        return possiblyExecuted != null && RetryRules.boundToScope(requestClass);
     }
 
     /** True if a further attempt at this endpoint does no harm, whatever the earlier ones did. */
@@ -123,8 +116,7 @@
     boolean retryUseful(double nowMillis) {
         double usefulUntilMillis =
                 requestClass.lateWeight() > 0 ? deadlineAtMillis : Math.min(objectiveAtMillis, deadlineAtMillis);
-        return nowMillis < usefulUntilMillis
-                && (possiblyExecuted == null || requestClass.idempotency() != Idempotency.NOT_IDEMPOTENT);
+        return nowMillis < usefulUntilMillis && (possiblyExecuted == null || RetryRules.mayEverRepeat(requestClass));
     }
 
     /**
--- a/src/main/java/loadbalancer/policy/RetryRules.java
+++ b/src/main/java/loadbalancer/policy/RetryRules.java
@@ -30,6 +30,17 @@
         };
     }
 
+    /** True if there is a time at which a request that may have been executed may be sent again. */
+    static boolean mayEverRepeat(RequestClass requestClass) {
+        return requestClass.idempotency() != Idempotency.NOT_IDEMPOTENT;
+    }
+
+    /** True if only some endpoints, those of one scope, discard a repeat. */
+    static boolean boundToScope(RequestClass requestClass) {
+        return requestClass.idempotency() == Idempotency.WITH_KEY
+                && requestClass.deduplicationScope() != DeduplicationScope.ALL;
+    }
+
     /** True if the second endpoint discards a repeat of what the first one may have executed, or it does no harm. */
     public static boolean shareDeduplication(RequestClass requestClass, Endpoint first, Endpoint second) {
         if (requestClass.idempotency() != Idempotency.WITH_KEY) {
--- a/src/test/java/loadbalancer/policy/RetryRulesTest.java
+++ b/src/test/java/loadbalancer/policy/RetryRulesTest.java
@@ -68,4 +68,19 @@
         assertEquals(true, RetryRules.mayRepeat(keyed, 3000, 7999));
         assertEquals(false, RetryRules.mayRepeat(keyed, 2000, 7999));
     }
+
+    @ParameterizedTest
+    @CsvSource({
+        "IDEMPOTENT,     ZONE, true,  false",
+        "WITH_KEY,       ALL,  true,  false",
+        "WITH_KEY,       ZONE, true,  true",
+        "WITH_KEY,       CELL, true,  true",
+        "NOT_IDEMPOTENT, CELL, false, false"
+    })
+    void repeatsAreBoundToScopeOnlyWithKey(
+            Idempotency idempotency, DeduplicationScope scope, boolean mayEverRepeat, boolean boundToScope) {
+        RequestClass requestClass = requestClass(idempotency, scope);
+        assertEquals(mayEverRepeat, RetryRules.mayEverRepeat(requestClass));
+        assertEquals(boundToScope, RetryRules.boundToScope(requestClass));
+    }
 }
